--- /dev/null
+++ b/test/storage/stored-bytes.test.ts
@@ -0,0 +1,100 @@
+/**
+ * Data folders of running deployments hold these bytes: a version that writes others can't go back, and one that reads
+ * others loses its store. test/fixtures/stored-bytes.json holds each record as hexadecimal and as decoded text.
+ */
+import { expect } from 'chai';
+import { readFileSync } from 'node:fs';
+import { VirtualClock } from '../../src/common/virtual-clock.js';
+import { ResourceStore } from '../../src/control/resource-store.js';
+import { StoreMachine } from '../../src/control/store-machine.js';
+import { encodeRecord, scanRecords } from '../../src/storage/record-format.js';
+import { MemoryFiles } from '../support/memory-files.js';
+import { decodedText, showRecords, type ShownRecord } from '../support/stored-bytes.js';
+import { StoredReplica } from '../support/stored-replica.js';
+
+/** The records of each file of a data folder, by its name. */
+type ShownFiles = Record<string, ShownRecord[]>;
+
+interface Pinned {
+  /** One of each type, as replicas propose them. */
+  readonly commands: readonly unknown[];
+  /** A replica that asks to be let in, so that the log has an entry with a replica set. */
+  readonly joinRequest: unknown;
+  readonly filesBeforeSnapshot: ShownFiles;
+  readonly filesAfterSnapshot: ShownFiles;
+  /** Of a version without declared sets. */
+  readonly oldState: { readonly hex: string; readonly text: string };
+}
+
+const PINNED = JSON.parse(readFileSync('test/fixtures/stored-bytes.json', 'utf8')) as Pinned;
+const ELECTION_MS = 1_000;
+
+function startOn(files: MemoryFiles, clock: VirtualClock, snapshotInterval = 1_000): StoredReplica {
+  const replica = new StoredReplica({ clock, files, snapshotInterval });
+  replica.host.start();
+  clock.advance(ELECTION_MS);
+  expect(replica.isCaughtUp).to.equal(true);
+  return replica;
+}
+
+/** A folder with every kind of record, of two terms. */
+async function writtenFolder(clock: VirtualClock): Promise<MemoryFiles> {
+  const files = new MemoryFiles();
+  const first = startOn(files, clock);
+  for (const command of PINNED.commands) {
+    await first.log.propose(command as Parameters<typeof first.log.propose>[0]);
+  }
+  first.host.receive('', PINNED.joinRequest as Parameters<typeof first.host.receive>[1]);
+  first.host.stop();
+  startOn(files, clock).host.stop();
+  return files;
+}
+
+function shown(files: MemoryFiles): ShownFiles {
+  return Object.fromEntries([...files.files].map(([name, bytes]) => [name, showRecords(bytes)]));
+}
+
+describe('the bytes of a record', () => {
+  it('are the length, its checksum, the checksum of the payload, and the payload', () => {
+    expect(Buffer.from(encodeRecord(Buffer.from('shoredoor'))).toString('hex')).to.equal(
+      '00000009589867b8ed4eb37a73686f7265646f6f72',
+    );
+    expect(Buffer.from(encodeRecord(Buffer.alloc(0))).toString('hex')).to.equal(
+      '000000002144df1c00000000',
+    );
+  });
+
+  it('are read as they were written', () => {
+    const bytes = Buffer.from('00000009589867b8ed4eb37a73686f7265646f6f72', 'hex');
+    const [payload] = scanRecords(bytes).payloads;
+    expect(Buffer.from(payload!).toString()).to.equal('shoredoor');
+  });
+});
+
+describe('the bytes of a data folder', () => {
+  it('are those of each kind of record and command', async () => {
+    const files = await writtenFolder(new VirtualClock());
+    expect(shown(files)).to.deep.equal(PINNED.filesBeforeSnapshot);
+  });
+
+  it('are those of a snapshot and the log after it', async () => {
+    const clock = new VirtualClock();
+    const files = await writtenFolder(clock);
+    startOn(files, clock, 1).host.stop();
+    expect(shown(files)).to.deep.equal(PINNED.filesAfterSnapshot);
+  });
+});
+
+describe('a snapshot of a version without declared sets', () => {
+  it('is taken over whole', () => {
+    const { hex, text } = PINNED.oldState;
+    const machine = new StoreMachine(new ResourceStore(), () => undefined);
+    machine.restoreSnapshot(Buffer.from(hex, 'hex'));
+    expect(decodedText(Buffer.from(hex, 'hex'))).to.equal(text);
+    const { declarations, ...rest } = JSON.parse(decodedText(machine.takeSnapshot())) as {
+      declarations: unknown;
+    };
+    expect(declarations).to.deep.equal([]);
+    expect(JSON.stringify(rest)).to.equal(text);
+  });
+});
--- /dev/null
+++ b/test/support/memory-files.ts
@@ -0,0 +1,26 @@
+/** {@link StorageFiles} in memory whose writes end at once, so that a test sees the same bytes each time. */
+import type { AppendFile, FileCallback, StorageFiles } from '../../src/storage/storage-files.js';
+
+export class MemoryFiles implements StorageFiles {
+  readonly files = new Map<string, Buffer>();
+
+  read(name: string): Uint8Array | undefined {
+    return this.files.get(name);
+  }
+
+  replace(name: string, bytes: Uint8Array, done: FileCallback): void {
+    this.files.set(name, Buffer.from(bytes));
+    done(undefined);
+  }
+
+  openAppend(name: string, size: number): AppendFile {
+    this.files.set(name, this.files.get(name)!.subarray(0, size));
+    return {
+      append: (bytes, done) => {
+        this.files.set(name, Buffer.concat([this.files.get(name)!, bytes]));
+        done(undefined);
+      },
+      close: () => undefined,
+    };
+  }
+}
