--- /dev/null
+++ b/test/platform/deploy-files.test.ts
@@ -0,0 +1,82 @@
+/**
+ * The files of `deploy/` are read by the users' platform: the fields that templates take from it, and the names and
+ * commands that it is told. What the platform fills in has to be valid settings of the program.
+ */
+import { expect } from 'chai';
+import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import type { z } from 'zod';
+import { run } from '../../platform/main.js';
+import { loadSettings } from '../../src/settings/load-settings.js';
+import { controlSettingsSchema, sidecarSettingsSchema } from '../../src/settings/schemas.js';
+import { fillTemplate, namesInTemplate, type TemplateFields } from '../support/fill-template.js';
+import { readToml } from '../support/read-toml.js';
+
+/** A template filled once, and the settings that it gives. */
+interface FilledTemplate {
+  readonly template: string;
+  readonly fields: TemplateFields;
+  readonly settings: unknown;
+}
+
+interface RecordedFiles {
+  /** The names that each template takes from the platform. */
+  readonly templateNames: Readonly<Record<string, readonly string[]>>;
+  readonly filled: readonly FilledTemplate[];
+  readonly tables: Readonly<Record<string, unknown>>;
+}
+
+const RECORDED = JSON.parse(
+  readFileSync('test/fixtures/deploy-files.json', 'utf8'),
+) as RecordedFiles;
+const SCHEMAS: Readonly<Record<string, z.ZodType>> = {
+  'deploy/control.template.yaml': controlSettingsSchema,
+  'deploy/sidecar.template.yaml': sidecarSettingsSchema,
+};
+
+function read(file: string): string {
+  return readFileSync(file, 'utf8');
+}
+
+describe('the templates of settings', () => {
+  it('take the recorded fields from the platform', () => {
+    expect(Object.keys(RECORDED.templateNames)).to.deep.equal(Object.keys(SCHEMAS));
+    for (const [file, names] of Object.entries(RECORDED.templateNames)) {
+      expect(namesInTemplate(read(file))).to.deep.equal(names);
+    }
+  });
+
+  for (const [index, { template, fields, settings }] of RECORDED.filled.entries()) {
+    it(`give the recorded settings: ${template}, case ${index + 1}`, () => {
+      const file = join(mkdtempSync(join(tmpdir(), 'shoredoor-deploy-')), 'node.yaml');
+      writeFileSync(file, fillTemplate(read(template), fields));
+      expect(loadSettings(SCHEMAS[template]!, file, [])).to.deep.equal(settings);
+    });
+  }
+});
+
+describe('what the platform is told', () => {
+  for (const [file, tables] of Object.entries(RECORDED.tables)) {
+    it(`is as recorded: ${file}`, () => {
+      expect(readToml(read(file))).to.deep.equal(tables);
+    });
+  }
+
+  it('names files that the build writes, with the flags for which it writes the code cache', () => {
+    const { scripts } = JSON.parse(read('package.json')) as { scripts: { bundle: string } };
+    expect(scripts.bundle).to.contain(' --outfile=target/main.cjs ');
+    expect(scripts.bundle).to.contain(' --outfile=target/launch.cjs ');
+    expect(scripts.bundle).to.match(
+      / node --max-old-space-size=160 --max-semi-space-size=4 target\/launch\.cjs --write-cache target\/main\.cjs$/,
+    );
+  });
+
+  it('names programs of the bundle, which knows these alone', async () => {
+    let message = '';
+    await run(['edge', 'none.yaml']).catch((error: unknown) => {
+      message = (error as Error).message;
+    });
+    expect(message).to.equal('the program must be one of: sidecar, control');
+  });
+});
