--- /dev/null
+++ b/test/pins/node-edge-lines.test.ts
@@ -0,0 +1,64 @@
+/** Lines that a node and an edge write from start to stop, literally but for their addresses. */
+import { expect } from 'chai';
+import { startEdge } from '../../src/programs/edge-program.js';
+import { startNode } from '../../src/programs/node-program.js';
+import { edgeSettingsSchema, nodeSettingsSchema } from '../../src/settings/schemas.js';
+import { CapturedLines } from '../support/captured-lines.js';
+
+const ANY_ADDRESS = '127.0.0.1:0';
+/** Nothing listens there. */
+const NOWHERE = 'http://127.0.0.1:1';
+const ORIGIN = /^http:\/\/127\.0\.0\.1:\d+$/;
+
+const COMMON = {
+  id: 'pinned',
+  zone: 'zone-a',
+  admin: ANY_ADDRESS,
+  control: [NOWHERE],
+  linkToken: 'test-link-token-0123456789',
+  stop: { drainMs: 0, timeoutMs: 0 },
+};
+
+describe('the log lines of a node and of an edge', () => {
+  it('are these for a node', async () => {
+    const captured = new CapturedLines('node', 'pinned-node');
+    try {
+      const addresses = { inbound: ANY_ADDRESS, outbound: ANY_ADDRESS };
+      const settings = nodeSettingsSchema.parse({
+        ...COMMON,
+        ...addresses,
+        service: 'ledger',
+        target: { origin: NOWHERE },
+      });
+      const node = await startNode(settings, captured.logger);
+      await node.stop();
+    } finally {
+      captured.end();
+    }
+    expect(captured.shapes).to.include.members([
+      '30 node: Leaving: finishing calls under way. {inFlight}',
+      '30 node: Listening. {admin, inbound, outbound}',
+      '30 node: Stopped. {}',
+      '30 follower: A sync got no answer. {detail, failure, heldMs, origin}',
+    ]);
+    const [listening] = captured.of('node: Listening.');
+    expect(listening!.inbound).to.match(ORIGIN);
+    expect(listening!.admin).to.match(ORIGIN);
+  });
+
+  it('are these for an edge', async () => {
+    const captured = new CapturedLines('edge', 'pinned-edge');
+    try {
+      const settings = edgeSettingsSchema.parse({ ...COMMON, listen: ANY_ADDRESS });
+      const edge = await startEdge(settings, captured.logger);
+      await edge.stop();
+    } finally {
+      captured.end();
+    }
+    expect(captured.shapes).to.include.members([
+      '30 edge: Listening. {admin, origin}',
+      '30 edge: Stopped. {}',
+      '30 edge: Stopping: unready, finishing calls under way. {inFlight}',
+    ]);
+  });
+});
--- /dev/null
+++ b/test/pins/quarantine-lines.test.ts
@@ -0,0 +1,116 @@
+/** Lines of control about requests in quarantine, literally as they are written. Virtual time. */
+import { expect } from 'chai';
+import { VirtualClock } from '../../src/common/virtual-clock.js';
+import type { CommandLog } from '../../src/control/command-log.js';
+import { QuarantineKeeper } from '../../src/control/quarantine-keeper.js';
+import { ResourceStore, type Command } from '../../src/control/resource-store.js';
+import { CrashEvidence } from '../../src/quarantine/crash-evidence.js';
+import { CapturedLines } from '../support/captured-lines.js';
+
+const INFO = 30;
+const WARN = 40;
+const TEN_MINUTES_MS = 600_000;
+/** Longer than control waits for gates that have seen a suspect end well. */
+const HEARING_MS = 1_000;
+const FINGERPRINT = '0123456789abcdef0123-01234567';
+/** Bound of the quarantines in the store. */
+const MAX_QUARANTINES = 256;
+
+describe('the log lines about quarantines', () => {
+  let clock: VirtualClock;
+  let captured: CapturedLines;
+  let keeper: QuarantineKeeper;
+  let evidence: CrashEvidence;
+  let hasQuorum: boolean;
+  let crashes: number;
+
+  beforeEach(() => {
+    clock = new VirtualClock();
+    captured = new CapturedLines('control', 'pinned-quarantine');
+    evidence = new CrashEvidence(clock);
+    hasQuorum = true;
+    crashes = 0;
+    const store = new ResourceStore();
+    const propose = (command: Command) =>
+      Promise.resolve(
+        hasQuorum
+          ? { type: 'applied', result: store.apply(command) }
+          : { type: 'refused', refusal: { type: 'no-quorum' } },
+      );
+    const log = { status: () => ({ role: 'leader' }), propose } as unknown as CommandLog;
+    const logger = captured.logger.part('quarantine');
+    keeper = new QuarantineKeeper({ store, log, evidence, wallClock: () => clock.now(), logger });
+  });
+
+  afterEach(() => captured.end());
+
+  async function crashUnder(fingerprint: string, times: number): Promise<void> {
+    for (let each = 0; each < times; each += 1) {
+      crashes += 1;
+      const report = { instance: `i-${crashes}`, fingerprints: [fingerprint] };
+      evidence.onNews({ crashes: [report], acquitted: [] });
+    }
+    await check();
+  }
+
+  /** Gives gates their hearing, then looks at the evidence some times, as the program does, and lets each look write. */
+  async function check(): Promise<void> {
+    clock.advance(HEARING_MS);
+    for (let look = 0; look < 3; look += 1) {
+      keeper.check();
+      for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
+    }
+  }
+
+  it('tell of its beginning, its end, and the next one', async () => {
+    await crashUnder(FINGERPRINT, 3);
+    clock.advance(TEN_MINUTES_MS);
+    await check();
+    await crashUnder(FINGERPRINT, 1);
+    expect(captured.lines).to.deep.equal([
+      {
+        level: WARN,
+        msg: 'quarantine: A request is quarantined: targets crash under it.',
+        fingerprint: FINGERPRINT,
+        crashes: 3,
+      },
+      {
+        level: INFO,
+        msg: 'quarantine: The quarantine of a request has ended.',
+        fingerprint: FINGERPRINT,
+        inForce: true,
+        until: 601_000,
+        terms: 1,
+      },
+      {
+        level: WARN,
+        msg: 'quarantine: A request is quarantined again: a target has crashed under it.',
+        fingerprint: FINGERPRINT,
+        terms: 2,
+      },
+    ]);
+  });
+
+  it('tell of one that was not written', async () => {
+    hasQuorum = false;
+    await crashUnder(FINGERPRINT, 3);
+    expect(captured.lines[1]).to.deep.equal({
+      level: WARN,
+      msg: 'quarantine: A quarantine was not written; it is tried again.',
+      fingerprint: FINGERPRINT,
+      cause: 'no-quorum',
+    });
+  });
+
+  it('tell of one that has no place', async () => {
+    for (let each = 0; each < MAX_QUARANTINES; each += 1) {
+      await crashUnder(`${String(each).padStart(20, '0')}-01234567`, 3);
+    }
+    await crashUnder(FINGERPRINT, 3);
+    expect(captured.lines.at(-1)).to.deep.equal({
+      level: WARN,
+      msg: 'quarantine: A request crashes targets, and no more can be quarantined.',
+      fingerprint: FINGERPRINT,
+    });
+  });
+});
--- /dev/null
+++ b/test/pins/source-texts.test.ts
@@ -0,0 +1,33 @@
+/**
+ * Everything that the sources write for people, against recorded lists. A change of a line shows as a difference to its
+ * list, and is made in both or in neither.
+ */
+import { expect } from 'chai';
+import { readFileSync } from 'node:fs';
+import { sourceLogLines, sourceLogParts, sourceSentences } from '../support/source-texts.js';
+
+function recorded(name: string): string[] {
+  return readFileSync(`test/fixtures/${name}`, 'utf8').split('\n').filter(Boolean);
+}
+
+describe('what the sources write for people', () => {
+  it('are these log lines, with these levels and fields', () => {
+    expect(sourceLogLines()).to.deep.equal(recorded('log-lines.txt'));
+  });
+
+  it('are lines of these parts', () => {
+    expect(sourceLogParts()).to.deep.equal([
+      'api',
+      'follower',
+      'platform',
+      'quarantine',
+      'replication',
+      'request',
+      'target',
+    ]);
+  });
+
+  it('are these sentences', () => {
+    expect(sourceSentences()).to.deep.equal(recorded('sentences.txt'));
+  });
+});
--- /dev/null
+++ b/test/support/captured-lines.ts
@@ -0,0 +1,84 @@
+/** The log lines that a test's own logger writes to standard output, as an operator's tools read them. */
+import { createLogger, type Logger } from '../../src/observe/logger.js';
+
+/** A line without the fields that every line has. */
+export type CapturedLine = Readonly<Record<string, unknown>>;
+
+const LINE_START = '{"name":"shoredoor"';
+const FIELDS_OF_ALL_LINES: readonly string[] = [
+  'name',
+  'hostname',
+  'pid',
+  'processId',
+  'time',
+  'v',
+];
+
+const captures = new Set<CapturedLines>();
+let restoreOutput: (() => void) | undefined;
+
+export class CapturedLines {
+  readonly logger: Logger;
+  /** Whole lines, as they were written. */
+  readonly records: CapturedLine[] = [];
+
+  /**
+   * Captures until {@link end}.
+   * @param program prefix of the logger
+   * @param processId tells the lines of one capture from those of others that run at the same time
+   */
+  constructor(
+    program: string,
+    readonly processId: string,
+  ) {
+    this.logger = createLogger(program, processId, 'info');
+    captures.add(this);
+    restoreOutput ??= divertOutput();
+  }
+
+  get lines(): CapturedLine[] {
+    return this.records.map((record) => {
+      const own = Object.entries(record).filter(([name]) => !FIELDS_OF_ALL_LINES.includes(name));
+      return Object.fromEntries(own);
+    });
+  }
+
+  /** Level, message and sorted field names of the lines; each once, sorted. */
+  get shapes(): string[] {
+    const shapes = this.lines.map(({ msg, level, ...fields }) => {
+      return `${String(level)} ${String(msg)} {${Object.keys(fields).sort().join(', ')}}`;
+    });
+    return [...new Set(shapes)].sort();
+  }
+
+  /** The lines with this message. */
+  of(message: string): CapturedLine[] {
+    return this.lines.filter(({ msg }) => msg === message);
+  }
+
+  end(): void {
+    captures.delete(this);
+    if (captures.size > 0) return;
+    restoreOutput?.();
+    restoreOutput = undefined;
+  }
+}
+
+/** Hands lines of the loggers to their captures, and lets everything else through. */
+function divertOutput(): () => void {
+  const write = process.stdout.write.bind(process.stdout);
+  const divert = (chunk: string | Uint8Array, ...rest: never[]): boolean =>
+    isTaken(String(chunk)) || write(chunk, ...rest);
+  process.stdout.write = divert;
+  return () => {
+    process.stdout.write = write;
+  };
+}
+
+function isTaken(text: string): boolean {
+  if (!text.startsWith(LINE_START)) return false;
+  const record = JSON.parse(text) as CapturedLine;
+  const capture = [...captures].find(({ processId }) => processId === record.processId);
+  capture?.records.push(record);
+  return capture !== undefined;
+}
