--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -1,7 +1,7 @@
 /** A node's view of configuration in virtual time: follows any replica, restarts without a disk. */
 import { ConfigurationProof } from '../../../src/follower/configuration-proof.js';
 import { ConfigurationView } from '../../../src/follower/configuration-view.js';
-import type { SyncResponse } from '../../../src/control/sync-protocol.js';
+import type { SyncResponse } from '../../../src/sync/sync-protocol.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import { MachineClock } from '../machine-clock.js';
 import { exchange } from '../sim-exchange.js';
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -3,7 +3,8 @@
 import { SeededRandom } from '../../../src/common/random.js';
 import type { RaftMechanisms } from '../../../src/consensus/raft-options.js';
 import { ReplicaHost } from '../../../src/consensus/replica-host.js';
-import type { MessageTarget, RaftMessage, Replica } from '../../../src/consensus/raft-types.js';
+import type { MessageTarget, RaftMessage } from '../../../src/consensus/raft-types.js';
+import type { Replica } from '../../../src/storage/persisted-state.js';
 import { MemberTable } from '../../../src/control/member-table.js';
 import {
   type ResourceCommand,
@@ -15,7 +16,7 @@
   NO_REVISION,
   type SyncRequest,
   type SyncResponse,
-} from '../../../src/control/sync-protocol.js';
+} from '../../../src/sync/sync-protocol.js';
 import { SyncResponder } from '../../../src/control/sync-responder.js';
 import { MachineClock } from '../machine-clock.js';
 import { SimMachine } from '../sim-network.js';
--- a/lab/simulator/sidecars/sim-peer-transport.ts
+++ b/lab/simulator/sidecars/sim-peer-transport.ts
@@ -7,7 +7,7 @@
   OutboundTransport,
 } from '../../../src/call/transport.js';
 import type { CallFrameContext } from '../../../src/link/link-frames.js';
-import type { EndpointRecord } from '../../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../../src/call/endpoint.js';
 import type { RequestLineage } from './request-lineage.js';
 import type { SidecarNeighbours } from './sim-sidecar.js';
 import type { Cancellable } from './sim-target-work.js';
--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -13,18 +13,18 @@
   GATE_SHARING,
   QUEUE_WAIT_MS,
   SLOT_FRACTION,
-} from '../../../src/call/gate-policy.js';
-import { InboundCall } from '../../../src/call/inbound-call.js';
-import type { InboundServices } from '../../../src/call/inbound-services.js';
+} from '../../../src/gate/gate-policy.js';
+import { InboundCall } from '../../../src/gate/inbound-call.js';
+import type { InboundServices } from '../../../src/gate/inbound-services.js';
 import {
   comeBackSeconds,
   congestionOf,
-  frameContext,
   ingressContext,
   ingressRequest,
-} from '../../../src/call/ingress-policy.js';
-import type { OutboundResult } from '../../../src/call/outbound-request.js';
-import { OutboundRouter } from '../../../src/call/outbound-router.js';
+} from '../../../src/ingress/ingress-policy.js';
+import { frameContext } from '../../../src/link/frame-context.js';
+import type { OutboundResult } from '../../../src/outbound/outbound-request.js';
+import { OutboundRouter } from '../../../src/outbound/outbound-router.js';
 import type { Outcome } from '../../../src/call/outcome.js';
 import { refusalStatus } from '../../../src/call/refusal.js';
 import type { AttemptEnvelope } from '../../../src/call/transport.js';
@@ -34,7 +34,7 @@
 import type { CallFrameContext } from '../../../src/link/link-frames.js';
 import type { Route } from '../../../src/policy/route-table.js';
 import { IMPORTANCE_COUNT } from '../../../src/policy/importance.js';
-import type { EndpointRecord } from '../../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../../src/call/endpoint.js';
 import { NestedRoutes } from '../../../src/routing/nested-routes.js';
 import { OriginTracker } from '../../../src/routing/origin-tracker.js';
 import { RepeatedRuns } from '../../../src/retry/repeated-runs.js';
--- a/lab/simulator/sim-edge.ts
+++ b/lab/simulator/sim-edge.ts
@@ -1,9 +1,9 @@
 /** A simulated edge: group, kind and context as in the product, then the product's router. */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
-import { edgeOutboundRequest, mintContext } from '../../src/call/mint-context.js';
+import { edgeOutboundRequest, mintContext } from '../../src/edge/mint-context.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import type { OutboundRequest } from '../../src/call/outbound-request.js';
-import { OutboundRouter } from '../../src/call/outbound-router.js';
+import type { OutboundRequest } from '../../src/outbound/outbound-request.js';
+import { OutboundRouter } from '../../src/outbound/outbound-router.js';
 import { refusalStatus } from '../../src/call/refusal.js';
 import type { Clock } from '../../src/common/clock.js';
 import type { RandomSource } from '../../src/common/random.js';
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -8,9 +8,9 @@
 import { createLimiter } from '../../src/admission/limiter-registry.js';
 import { SHARING_ORDERS } from '../../src/admission/sharing-policy.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import { InboundCall } from '../../src/call/inbound-call.js';
-import type { InboundResult } from '../../src/call/inbound-services.js';
-import { OutboundRouter } from '../../src/call/outbound-router.js';
+import { InboundCall } from '../../src/gate/inbound-call.js';
+import type { InboundResult } from '../../src/gate/inbound-services.js';
+import { OutboundRouter } from '../../src/outbound/outbound-router.js';
 import { refusalStatus } from '../../src/call/refusal.js';
 import type { Attempt, AttemptListener, TargetTransport } from '../../src/call/transport.js';
 import type { Clock } from '../../src/common/clock.js';
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -7,7 +7,7 @@
   AttemptListener,
   OutboundTransport,
 } from '../../src/call/transport.js';
-import type { EndpointRecord } from '../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../src/call/endpoint.js';
 import type { SimMachine } from './sim-network.js';
 import type { SimInboundHandle, SimTarget } from './sim-target.js';
 import type { SimWorld } from './sim-world.js';
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -10,7 +10,7 @@
 import { LOWEST_IMPORTANCE } from '../../src/policy/importance.js';
 import { PolicyTable } from '../../src/policy/policy-table.js';
 import type { Resource } from '../../src/policy/resource-schema.js';
-import type { EndpointRecord } from '../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../src/call/endpoint.js';
 import { ServiceDirectory } from '../../src/routing/service-directory.js';
 import type { AttemptAnswer, AttemptSender, CallerAttempt } from '../model/caller-model.js';
 import {
--- a/src/call/request-journal.ts
+++ b/src/call/request-journal.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../common/clock.js';
 import type { Verdict } from '../common/verdict.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { CallContext } from './call-context.js';
 import type { Refusal } from './refusal.js';
 
--- a/src/call/transport.ts
+++ b/src/call/transport.ts
@@ -2,7 +2,7 @@
  * What the call modules need from below: sending one attempt and hearing how it goes. Sockets
  * implement it in the programs, virtual links in the simulator.
  */
-import type { EndpointRecord } from '../routing/endpoint.js';
+import type { EndpointRecord } from './endpoint.js';
 import type { Outcome } from './outcome.js';
 
 /** Why an attempt brought no whole answer. */
--- a/src/cli/apply-command.ts
+++ b/src/cli/apply-command.ts
@@ -3,7 +3,7 @@
 import { UsageError } from '../common/errors.js';
 import type { ApiAnswer, ResourceClient } from '../client/resource-client.js';
 import { DECLARED_KINDS, type Resource, type ResourceKind } from '../policy/resource-schema.js';
-import type { ResourceId } from '../control/resource-store.js';
+import type { ResourceId } from '../policy/stored-resource.js';
 import { createClient, readOutput } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import type { ApplyOptions, DeleteOptions } from './operator-commands.js';
--- a/src/cli/run-program.ts
+++ b/src/cli/run-program.ts
@@ -1,6 +1,6 @@
 /** Starts a long-running program from its command and stops it in order on SIGTERM or SIGINT. */
 import type { z } from 'zod';
-import { createLogger, type LogLevel, type Logger } from '../observe/logger.js';
+import { createLogger, type LogLevel, type Logger } from '../common/logger.js';
 import type { Program } from '../programs/program.js';
 import { loadSettings } from '../settings/load-settings.js';
 import { prepareHashing } from '../common/rendezvous-hash.js';
--- a/src/client/resource-client.ts
+++ b/src/client/resource-client.ts
@@ -1,7 +1,7 @@
 /** A client of the resource API, for the command line. Tries every replica and follows the leader. */
 import { request, type Dispatcher } from 'undici';
 import { RequestError, type RequestErrorProps } from '../common/errors.js';
-import type { ResourceId, StoredResource } from '../control/resource-store.js';
+import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 import type { StatusReport } from '../control/status-report.js';
 import type { WatchEvent } from '../control/watch-streams.js';
 import type { Resource } from '../policy/resource-schema.js';
--- a/src/consensus/applied-log.ts
+++ b/src/consensus/applied-log.ts
@@ -1,7 +1,7 @@
 /** Applies committed entries to the state machine, answers proposals, and takes snapshots. */
 import type { ProposalCallback, ProposalOutcome } from './raft-options.js';
 import type { RaftState } from './raft-state.js';
-import type { LogEntry, Snapshot } from './raft-types.js';
+import type { LogEntry, Snapshot } from '../storage/persisted-state.js';
 
 const DEFAULT_SNAPSHOT_INTERVAL = 1_000;
 
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -5,14 +5,8 @@
 import { PendingReads } from './pending-reads.js';
 import type { ProposalCallback } from './raft-options.js';
 import type { RaftState } from './raft-state.js';
-import type {
-  AppendResponse,
-  EntryPayload,
-  JoinRequest,
-  LogEntry,
-  Replica,
-  ReplicaSet,
-} from './raft-types.js';
+import type { AppendResponse, JoinRequest } from './raft-types.js';
+import type { EntryPayload, LogEntry, Replica, ReplicaSet } from '../storage/persisted-state.js';
 import { nextReplicaChange, withLearner, withoutReplica } from './replica-changes.js';
 
 const HEARTBEATS_PER_TIMEOUT = 5;
--- a/src/consensus/log-receiver.ts
+++ b/src/consensus/log-receiver.ts
@@ -2,7 +2,8 @@
 import type { AppliedLog } from './applied-log.js';
 import type { Election } from './election.js';
 import type { RaftState } from './raft-state.js';
-import type { AppendRequest, Replica, SnapshotRequest } from './raft-types.js';
+import type { AppendRequest, SnapshotRequest } from './raft-types.js';
+import type { Replica } from '../storage/persisted-state.js';
 
 export class LogReceiver {
   constructor(
--- a/src/consensus/peer-progress.ts
+++ b/src/consensus/peer-progress.ts
@@ -1,5 +1,5 @@
 /** What a leader knows of the other replicas' logs. */
-import type { Replica, ReplicaSet } from './raft-types.js';
+import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
 /** One replica's progress. */
 export interface PeerProgress {
--- a/src/consensus/raft-log.ts
+++ b/src/consensus/raft-log.ts
@@ -1,5 +1,5 @@
 /** The log in memory: the entries after the last snapshot, and the replica sets that they declare. */
-import type { LogEntry, ReplicaSet, Snapshot } from './raft-types.js';
+import type { LogEntry, ReplicaSet, Snapshot } from '../storage/persisted-state.js';
 
 /** Entries kept behind a snapshot, so that a follower that is a little behind needs no snapshot. */
 const KEPT_ENTRIES = 500;
--- a/src/consensus/raft-node.ts
+++ b/src/consensus/raft-node.ts
@@ -10,13 +10,13 @@
 import type { ProposalCallback, RaftOptions, RaftStatus } from './raft-options.js';
 import { RaftState } from './raft-state.js';
 import type {
-  PersistedState,
   ProbeFinding,
   ProbeRequest,
   RaftMessage,
   ReadRequest,
   ReadResponse,
 } from './raft-types.js';
+import type { PersistedState } from '../storage/persisted-state.js';
 
 export class RaftNode {
   private readonly state: RaftState;
--- a/src/consensus/raft-options.ts
+++ b/src/consensus/raft-options.ts
@@ -1,13 +1,8 @@
 /** What a replica of the log is made of, and how proposals on it end. */
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
-import type {
-  RaftStorage,
-  RaftTransport,
-  Replica,
-  ReplicaSet,
-  StateMachine,
-} from './raft-types.js';
+import type { RaftTransport, StateMachine } from './raft-types.js';
+import type { RaftStorage, Replica, ReplicaSet } from '../storage/persisted-state.js';
 
 /** Roles of a replica. A `pre-candidate` asks whether it would be elected, in no new term. */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
--- a/src/consensus/raft-state.ts
+++ b/src/consensus/raft-state.ts
@@ -10,14 +10,8 @@
   type RaftOptions,
   type RaftRole,
 } from './raft-options.js';
-import type {
-  HardState,
-  LogEntry,
-  MessageTarget,
-  PersistedState,
-  RaftMessage,
-  Replica,
-} from './raft-types.js';
+import type { MessageTarget, RaftMessage } from './raft-types.js';
+import type { HardState, LogEntry, PersistedState, Replica } from '../storage/persisted-state.js';
 
 export class RaftState {
   role: RaftRole = 'follower';
--- a/src/consensus/replica-bootstrap.ts
+++ b/src/consensus/replica-bootstrap.ts
@@ -14,9 +14,8 @@
   ProbeResponse,
   RaftMessage,
   RaftTransport,
-  Replica,
-  ReplicaSet,
 } from './raft-types.js';
+import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
 /** What the replica is to do. */
 export type BootstrapDecision =
--- a/src/consensus/replica-changes.ts
+++ b/src/consensus/replica-changes.ts
@@ -2,7 +2,7 @@
  * Which change of the replica set the leader makes next: one replica at a time, so that any two
  * successive sets have a voter in common in every two majorities. Pure.
  */
-import type { Replica, ReplicaSet } from './raft-types.js';
+import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
 /** What the decision depends on. */
 export interface ReplicaObservations {
--- a/src/consensus/replica-host.ts
+++ b/src/consensus/replica-host.ts
@@ -11,14 +11,8 @@
 import type { ReadCallback } from './pending-reads.js';
 import { RaftNode } from './raft-node.js';
 import type { ProposalCallback, RaftMechanisms, RaftStatus } from './raft-options.js';
-import type {
-  PersistedState,
-  RaftMessage,
-  RaftTransport,
-  Replica,
-  Snapshot,
-  StateMachine,
-} from './raft-types.js';
+import type { RaftMessage, RaftTransport, StateMachine } from './raft-types.js';
+import type { PersistedState, Replica, Snapshot } from '../storage/persisted-state.js';
 import { type BootstrapDecision, ReplicaBootstrap } from './replica-bootstrap.js';
 
 export interface ReplicaHostOptions {
--- a/src/control/declaration-api.ts
+++ b/src/control/declaration-api.ts
@@ -3,11 +3,11 @@
  * that it builds on (RFC 9110, section 13.1.1; 0 for the first), `GET` for the newest.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { AccessRole, AccessToken, AccessTokens } from './access-tokens.js';
-import { apiProblem } from './api-problem.js';
-import { readJsonBody } from './api-request.js';
-import { writeJson, writeProblem, writeRedirect } from './api-response.js';
+import { apiProblem } from '../http/api-problem.js';
+import { readJsonBody } from '../http/api-request.js';
+import { writeJson, writeProblem, writeRedirect } from '../http/api-response.js';
 import type { LogRefusal } from './command-log.js';
 import type { DeclarationCodec, DeclarationDocument } from './declaration-codec.js';
 import type { DeclarationService, DeclareOutcome } from './declaration-service.js';
--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -14,9 +14,9 @@
   resourceKey,
   type DeclareCommand,
   type DeclareResult,
-  type ResourceId,
   type ResourceStore,
 } from './resource-store.js';
+import type { ResourceId } from '../policy/stored-resource.js';
 
 /** The answer to a set. */
 export type DeclareOutcome =
--- a/src/control/follower-api.ts
+++ b/src/control/follower-api.ts
@@ -6,10 +6,16 @@
 import type { ChangeNotifier } from './change-notifier.js';
 import type { CommandLog } from './command-log.js';
 import { isLinkRequest, readMessage, writeMessage, writeStatus } from '../http/link-messages.js';
-import type { Heartbeat, MemberTable } from './member-table.js';
+import type { MemberTable } from './member-table.js';
+import type { Heartbeat } from '../sync/heartbeat.js';
 import type { QuotaKeeper } from './quota-keeper.js';
 import type { ResourceStore } from './resource-store.js';
-import { HEARTBEAT_PATH, SYNC_HOLD_MS, SYNC_PATH, type SyncRequest } from './sync-protocol.js';
+import {
+  HEARTBEAT_PATH,
+  SYNC_HOLD_MS,
+  SYNC_PATH,
+  type SyncRequest,
+} from '../sync/sync-protocol.js';
 import { SyncPacker } from './sync-packer.js';
 import type { SyncResponder } from './sync-responder.js';
 
--- a/src/control/leadership-log.ts
+++ b/src/control/leadership-log.ts
@@ -1,5 +1,5 @@
 /** What a replica logs of its role and its leader: one line for each change. */
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { LogStatus } from './command-log.js';
 
 export class LeadershipLog {
--- a/src/control/platform-list.ts
+++ b/src/control/platform-list.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici';
 import { z } from 'zod';
 import type { Clock, Timer } from '../common/clock.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 
 const listSchema = z.object({
   machines: z.array(
--- a/src/control/quarantine-keeper.ts
+++ b/src/control/quarantine-keeper.ts
@@ -4,7 +4,7 @@
  * loss of power.
  */
 import { randomUUID } from 'node:crypto';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { QuarantineResource } from '../policy/resource-schema.js';
 import type { CrashEvidence } from '../quarantine/crash-evidence.js';
 import type { CommandLog } from './command-log.js';
--- a/src/control/replication-link.ts
+++ b/src/control/replication-link.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { MessageTarget, RaftMessage, RaftTransport } from '../consensus/raft-types.js';
 import type { ReplicaHost } from '../consensus/replica-host.js';
-import type { ControlClient } from '../follower/control-client.js';
+import type { ControlClient } from '../http/control-client.js';
 import type { BodyLimits } from '../http/request-body.js';
 import { isLinkRequest, readMessage, writeStatus } from '../http/link-messages.js';
 
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -4,7 +4,7 @@
  */
 import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import {
   DECLARED_KINDS,
   DELETABLE_KINDS,
@@ -14,18 +14,17 @@
 } from '../policy/resource-schema.js';
 import type { ResourceKind } from '../policy/resource-schema.js';
 import type { AccessRole, AccessToken, AccessTokens } from './access-tokens.js';
-import { apiProblem, type ApiProblem } from './api-problem.js';
-import { readJsonBody } from './api-request.js';
-import { writeJson, writeProblem, writeRedirect } from './api-response.js';
+import { apiProblem, type ApiProblem } from '../http/api-problem.js';
+import { readJsonBody } from '../http/api-request.js';
+import { writeJson, writeProblem, writeRedirect } from '../http/api-response.js';
 import type { CommandLog, LogRefusal } from './command-log.js';
 import type {
   Precondition,
   ResourceCommand,
-  ResourceId,
   ResourceResult,
   ResourceStore,
-  StoredResource,
 } from './resource-store.js';
+import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 import type { StatusReport } from './status-report.js';
 import type { WatchStreams } from './watch-streams.js';
 
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -3,28 +3,13 @@
  * changes. A deterministic state machine: the same commands in the same order give the same state
  * and the same results on every replica.
  */
+import type { ResourceId, StoredResource, ResourceChange } from '../policy/stored-resource.js';
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { Fault } from '../common/errors.js';
 import { conflictFaults } from '../policy/policy-table.js';
-import type { Resource, ResourceKind } from '../policy/resource-schema.js';
+import type { Resource } from '../policy/resource-schema.js';
 import { DeclarationHistory, type AcceptedDeclaration } from './declaration-history.js';
 
-/** Kind and name of a resource. */
-export interface ResourceId {
-  readonly kind: ResourceKind;
-  readonly name: string;
-}
-
-/** A resource as stored. */
-export interface StoredResource {
-  readonly resource: Resource;
-  /** Revision of the last change: the resource's version and entity tag. */
-  readonly version: number;
-  readonly changedBy: string;
-  /** Wall-clock milliseconds at which the change was proposed; for people only. */
-  readonly changedAt: number;
-}
-
 /** What a command expects to find: a version, nothing (`absent`), or whatever is there (`any`). */
 export type Precondition = number | 'absent' | 'any';
 
@@ -90,16 +75,6 @@
   /** The change id was used before for another change. */
   | { readonly type: 'change-id-reused' };
 
-/** One accepted change, for watchers and followers. */
-export interface ResourceChange {
-  readonly revision: number;
-  readonly id: ResourceId;
-  /** The resource after the change; undefined when it was deleted. */
-  readonly stored: StoredResource | undefined;
-  readonly actor: string;
-  readonly at: number;
-}
-
 interface RememberedResult {
   readonly changeId: string;
   /** Tells a resend from another change that uses the same id. */
--- a/src/control/sync-packer.ts
+++ b/src/control/sync-packer.ts
@@ -1,6 +1,10 @@
 /** Packs the answers to syncs; followers at the same revision get the same bytes. */
-import { packConfiguration, type PackedConfiguration, type PackedSync } from './sync-codec.js';
-import type { SyncRequest } from './sync-protocol.js';
+import {
+  packConfiguration,
+  type PackedConfiguration,
+  type PackedSync,
+} from '../sync/sync-codec.js';
+import type { SyncRequest } from '../sync/sync-protocol.js';
 import type { SyncResponder } from './sync-responder.js';
 
 /** Revisions of followers for which the packed news are kept: most are at the newest one or two. */
--- a/src/control/sync-responder.ts
+++ b/src/control/sync-responder.ts
@@ -3,13 +3,13 @@
 import type { CrashEvidence } from '../quarantine/crash-evidence.js';
 import type { MemberTable } from './member-table.js';
 import type { ResourceStore } from './resource-store.js';
-import type { ConfigurationNews, EndpointNews } from './sync-codec.js';
+import type { ConfigurationNews, EndpointNews } from '../sync/sync-codec.js';
 import {
   NO_REVISION,
   type EndpointPosition,
   type SyncRequest,
   type SyncResponse,
-} from './sync-protocol.js';
+} from '../sync/sync-protocol.js';
 
 export class SyncResponder {
   /** @param sourceId names this replica and its start, as `endpointSource` */
--- a/src/control/watch-streams.ts
+++ b/src/control/watch-streams.ts
@@ -1,7 +1,8 @@
 /** Watches: streams of JSON lines that follow the changes from a revision on. */
 import type { ServerResponse } from 'node:http';
 import type { ChangeNotifier } from './change-notifier.js';
-import type { ResourceChange, ResourceStore } from './resource-store.js';
+import type { ResourceStore } from './resource-store.js';
+import type { ResourceChange } from '../policy/stored-resource.js';
 
 /** A line of a watch. */
 export type WatchEvent =
--- a/src/call/edge-server.ts
+++ b/src/edge/edge-server.ts
@@ -9,16 +9,16 @@
 import { writeRefusal } from '../http/caller-response.js';
 import { NodeTransport, type NodeTransportOptions } from '../http/node-transport.js';
 import type { Group, PolicyTable, RequestKind } from '../policy/policy-table.js';
-import type { CallContext } from './call-context.js';
-import type { CallStats } from './call-stats.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallStats } from '../call/call-stats.js';
 import { edgeOutboundRequest, mintContext } from './mint-context.js';
-import type { OutboundResult } from './outbound-request.js';
-import type { OutboundRouter } from './outbound-router.js';
-import { requestPath, waitPreferenceMs } from './request-target.js';
-import type { Refusal, RefusalReason } from './refusal.js';
-import { StopPhase, type StopProgress } from './stop-phase.js';
-import { boundedByStop } from './stop-policy.js';
-import { newTraceId } from './trace-parent.js';
+import type { OutboundResult } from '../outbound/outbound-request.js';
+import type { OutboundRouter } from '../outbound/outbound-router.js';
+import { requestPath, waitPreferenceMs } from '../call/request-target.js';
+import type { Refusal, RefusalReason } from '../call/refusal.js';
+import { StopPhase, type StopProgress } from '../call/stop-phase.js';
+import { boundedByStop } from '../call/stop-policy.js';
+import { newTraceId } from '../call/trace-parent.js';
 
 /** What an edge is made of. */
 export interface EdgeServerOptions {
--- a/src/call/mint-context.ts
+++ b/src/edge/mint-context.ts
@@ -1,7 +1,7 @@
 /** The context of a call from outside, as an edge mints it. Pure: edges and the simulator share it. */
 import type { Group, RequestKind } from '../policy/policy-table.js';
-import type { CallContext } from './call-context.js';
-import type { OutboundRequest } from './outbound-request.js';
+import type { CallContext } from '../call/call-context.js';
+import type { OutboundRequest } from '../outbound/outbound-request.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
 
 /**
--- a/src/follower/configuration-view.ts
+++ b/src/follower/configuration-view.ts
@@ -7,19 +7,17 @@
   type EndpointPosition,
   type SyncRequest,
   type SyncResponse,
-} from '../control/sync-protocol.js';
+} from '../sync/sync-protocol.js';
+import { resourceIdOf, resourceKey, sortedByKey } from '../control/resource-store.js';
 import {
-  resourceIdOf,
-  resourceKey,
-  sortedByKey,
   type ResourceChange,
   type ResourceId,
   type StoredResource,
-} from '../control/resource-store.js';
+} from '../policy/stored-resource.js';
 import { NO_SUSPECTS, type SuspectList } from '../quarantine/crash-report.js';
 import { PolicyTable } from '../policy/policy-table.js';
 import type { Resource } from '../policy/resource-schema.js';
-import type { EndpointRecord } from '../routing/endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 
 /** What an answer changed. */
 export interface ViewUpdate {
--- a/src/follower/follower.ts
+++ b/src/follower/follower.ts
@@ -4,14 +4,14 @@
  */
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
-import type { Heartbeat, HeartbeatReply } from '../control/member-table.js';
-import { unpackSync, type PackedSync } from '../control/sync-codec.js';
-import { SYNC_HOLD_MS, SYNC_PATH, type SyncResponse } from '../control/sync-protocol.js';
-import type { Logger } from '../observe/logger.js';
-import type { EndpointState } from '../routing/endpoint.js';
+import type { Heartbeat, HeartbeatReply } from '../sync/heartbeat.js';
+import { unpackSync, type PackedSync } from '../sync/sync-codec.js';
+import { SYNC_HOLD_MS, SYNC_PATH, type SyncResponse } from '../sync/sync-protocol.js';
+import type { Logger } from '../common/logger.js';
+import type { EndpointState } from '../call/endpoint.js';
 import { ConfigurationProof } from './configuration-proof.js';
 import { ConfigurationView } from './configuration-view.js';
-import { ExchangeFailure, type ControlLink, type Exchange } from './control-client.js';
+import { ExchangeFailure, type ControlLink, type Exchange } from '../http/control-client.js';
 import {
   isCurrent,
   sendHeartbeat,
--- a/src/follower/heartbeat-round.ts
+++ b/src/follower/heartbeat-round.ts
@@ -1,8 +1,8 @@
 /** One heartbeat to every replica, and what each of them answered. */
 import type { Clock } from '../common/clock.js';
-import type { Heartbeat, HeartbeatReply } from '../control/member-table.js';
-import { HEARTBEAT_PATH } from '../control/sync-protocol.js';
-import { ExchangeFailure, type ControlLink } from './control-client.js';
+import type { Heartbeat, HeartbeatReply } from '../sync/heartbeat.js';
+import { HEARTBEAT_PATH } from '../sync/sync-protocol.js';
+import { ExchangeFailure, type ControlLink } from '../http/control-client.js';
 
 /** The answer of one replica; undefined when there was none in time. */
 export interface ReplicaReply {
--- a/src/follower/sync-journal.ts
+++ b/src/follower/sync-journal.ts
@@ -4,8 +4,8 @@
  * process that is behind waits, is refused, or was given nothing.
  */
 import type { Clock } from '../common/clock.js';
-import type { Logger } from '../observe/logger.js';
-import { ExchangeFailure, type Exchange } from './control-client.js';
+import type { Logger } from '../common/logger.js';
+import { ExchangeFailure, type Exchange } from '../http/control-client.js';
 
 export class SyncJournal {
   private told = 0;
--- a/src/follower/sync-watch.ts
+++ b/src/follower/sync-watch.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from '../common/clock.js';
 import type { ConfigurationView } from './configuration-view.js';
-import type { ExchangeProgress } from './control-client.js';
+import type { ExchangeProgress } from '../http/control-client.js';
 import type { CurrentReply } from './heartbeat-round.js';
 import type { SyncJournal } from './sync-journal.js';
 
--- a/src/call/broken-run.ts
+++ b/src/gate/broken-run.ts
@@ -1,7 +1,7 @@
 /** What a gate answers when the connection to its target broke before an answer began. Pure. */
 import type { Verdict } from '../common/verdict.js';
-import { CrashNote } from './outcome.js';
-import type { Refusal } from './refusal.js';
+import { CrashNote } from '../call/outcome.js';
+import type { Refusal } from '../call/refusal.js';
 
 /** The refusal, and what it tells the caller of the target. */
 export interface BrokenRun {
--- a/src/call/gate-policy.ts
+++ b/src/gate/gate-policy.ts
@@ -2,7 +2,7 @@
 import { SHARING_ORDERS } from '../admission/sharing-policy.js';
 import type { CallFrameContext } from '../link/link-frames.js';
 import { LOWEST_IMPORTANCE, parseImportance, type Importance } from '../policy/importance.js';
-import type { CallContext } from './call-context.js';
+import type { CallContext } from '../call/call-context.js';
 import type { InboundCallOptions } from './inbound-services.js';
 
 /** Part of a target's slots that is used. Some targets slow down when they are nearly full. */
--- a/src/call/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -2,19 +2,19 @@
  * The inbound side of a sidecar: takes routed calls from other sidecars for the target of its
  * machine. It alone sends to that target, so it decides what enters and in which order.
  */
-import { GateTransport, type GateTransportOptions } from '../http/gate-transport.js';
+import { GateTransport, type GateTransportOptions } from './gate-transport.js';
 import type { IncomingLinkCall } from '../link/link-server.js';
 import { headerOf } from '../http/header-filter.js';
 import type { OriginTracker } from '../routing/origin-tracker.js';
-import type { CallContext } from './call-context.js';
-import type { CallDurations } from './call-durations.js';
-import type { CallStats } from './call-stats.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallDurations } from '../call/call-durations.js';
+import type { CallStats } from '../call/call-stats.js';
 import { gateContext, gateOptions } from './gate-policy.js';
 import { InboundCall } from './inbound-call.js';
 import type { InboundResult, InboundServices } from './inbound-services.js';
-import { CrashNote, unbegunOutcome, type Outcome } from './outcome.js';
-import type { RefusalReason } from './refusal.js';
-import type { RequestJournal } from './request-journal.js';
+import { CrashNote, unbegunOutcome, type Outcome } from '../call/outcome.js';
+import type { RefusalReason } from '../call/refusal.js';
+import type { RequestJournal } from '../call/request-journal.js';
 
 /** What the gate is made of. */
 export interface GateServerOptions {
--- a/src/http/gate-transport.ts
+++ b/src/gate/gate-transport.ts
@@ -3,9 +3,9 @@
 import type { Attempt, AttemptListener, TargetTransport } from '../call/transport.js';
 import type { Clock } from '../common/clock.js';
 import type { IncomingLinkCall } from '../link/link-server.js';
-import type { TargetConnection } from './instance-pool.js';
-import { RelayHandler, type RelayPolicy } from './relay-handler.js';
-import { answerFault, isFramed, type TargetHeaders } from './target-headers.js';
+import type { TargetConnection } from '../membership/instance-pool.js';
+import { RelayHandler, type RelayPolicy } from '../http/relay-handler.js';
+import { answerFault, isFramed, type TargetHeaders } from '../http/target-headers.js';
 
 /** What the calls of one sidecar to its target share. */
 export interface GateTransportOptions {
--- a/src/call/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -11,7 +11,7 @@
 import type { ClaimDecision, ClaimHandle } from '../dedup/claim.js';
 import { RunEnd, type TargetState, type WatchedRun } from '../quarantine/crash-watch.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import type { CallContext } from './call-context.js';
+import type { CallContext } from '../call/call-context.js';
 import { KindUse } from './kind-use.js';
 import { NestedTime } from './nested-time.js';
 import { judgeBrokenRun } from './broken-run.js';
@@ -22,8 +22,8 @@
   InboundResult,
   InboundServices,
 } from './inbound-services.js';
-import type { CrashNote, LoadReport, Outcome } from './outcome.js';
-import type { RefusalReason } from './refusal.js';
+import type { CrashNote, LoadReport, Outcome } from '../call/outcome.js';
+import type { RefusalReason } from '../call/refusal.js';
 import { RepeatUse } from './repeat-use.js';
 import type {
   AnswerFault,
@@ -32,7 +32,7 @@
   AttemptFailure,
   HeadDecision,
   TargetTransport,
-} from './transport.js';
+} from '../call/transport.js';
 
 const LEAVING_RETRY_AFTER_SECONDS = 1;
 /** Part of its limit from which a target counts as full: reports of its slots may be a little old. */
--- a/src/call/inbound-registry.ts
+++ b/src/gate/inbound-registry.ts
@@ -3,7 +3,7 @@
  * context that it passes on. Targets cannot change what is kept here.
  */
 import type { InboundCall } from './inbound-call.js';
-import type { TraceParent } from './trace-parent.js';
+import type { TraceParent } from '../call/trace-parent.js';
 
 export class InboundRegistry {
   private readonly bySpan = new Map<string, InboundCall>();
--- a/src/call/inbound-services.ts
+++ b/src/gate/inbound-services.ts
@@ -6,7 +6,7 @@
 import type { KeyClaims } from '../dedup/claim.js';
 import type { CrashGuard } from '../quarantine/crash-guard.js';
 import type { KindServices } from './kind-use.js';
-import type { Refusal } from './refusal.js';
+import type { Refusal } from '../call/refusal.js';
 import type { RepeatServices } from './repeat-use.js';
 
 /** What the calls of one node share. */
--- a/src/call/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -2,7 +2,7 @@
 import { isCalm, type KindImpact } from '../admission/kind-impact.js';
 import type { KindLimiter } from '../admission/kind-limiter.js';
 import type { Clock } from '../common/clock.js';
-import type { CallContext } from './call-context.js';
+import type { CallContext } from '../call/call-context.js';
 import { isAboveTolerated, wantedHeldMs } from './gate-policy.js';
 
 /** What the gate keeps of all kinds. */
--- a/src/call/repeat-use.ts
+++ b/src/gate/repeat-use.ts
@@ -2,7 +2,7 @@
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
 import type { ArrivalSource, ServiceRetryBudget } from '../retry/service-retry-budget.js';
-import type { CallContext } from './call-context.js';
+import type { CallContext } from '../call/call-context.js';
 
 /** What the gate keeps of all calls. */
 export interface RepeatServices {
--- a/src/control/api-problem.ts
+++ b/src/http/api-problem.ts
@@ -1,7 +1,7 @@
 /** Problem Details (RFC 9457) of the resource API. */
 import type { Fault } from '../common/errors.js';
 import type { Verdict } from '../common/verdict.js';
-import type { StoredResource } from './resource-store.js';
+import type { StoredResource } from '../policy/stored-resource.js';
 
 /** Every problem type of the API; the `type` member is `urn:shoredoor:api:` and one of these. */
 export type ApiProblemType =
--- a/src/control/api-request.ts
+++ b/src/http/api-request.ts
@@ -1,6 +1,6 @@
 /** Reads the JSON body of a request to one of control's APIs. */
 import type { IncomingMessage } from 'node:http';
-import { readRequestBody } from '../http/request-body.js';
+import { readRequestBody } from './request-body.js';
 import { apiProblem, type ApiProblem } from './api-problem.js';
 
 /** A parsed body, or why there is none. */
--- a/src/http/node-transport.ts
+++ b/src/http/node-transport.ts
@@ -18,7 +18,7 @@
   AttemptListener,
   OutboundTransport,
 } from '../call/transport.js';
-import type { EndpointRecord } from '../routing/endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 import type { ConnectionPools } from './connection-pools.js';
 import { endToEndHeaders, type RawHeaders } from './header-filter.js';
 import { RelayHandler, type RelayPolicy } from './relay-handler.js';
--- a/src/call/group-access.ts
+++ b/src/ingress/group-access.ts
@@ -2,7 +2,7 @@
 import type { Group } from '../policy/group-table.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import type { Route } from '../policy/route-table.js';
-import type { RefusalReason } from './refusal.js';
+import type { RefusalReason } from '../call/refusal.js';
 
 /** What is decided from the key of a request. */
 export type Access =
--- a/src/call/ingress-exchange.ts
+++ b/src/ingress/ingress-exchange.ts
@@ -15,9 +15,9 @@
 import type { ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { NestedRoutes } from '../routing/nested-routes.js';
 import type { WeightedSplit } from '../routing/weighted-split.js';
-import type { CallContext } from './call-context.js';
-import type { CallDurations } from './call-durations.js';
-import type { CallStats } from './call-stats.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallDurations } from '../call/call-durations.js';
+import type { CallStats } from '../call/call-stats.js';
 import {
   comeBackSeconds,
   congestionOf,
@@ -25,13 +25,13 @@
   ingressRequest,
   quotaPatienceMs,
 } from './ingress-policy.js';
-import type { OutboundCall } from './outbound-call.js';
-import type { OutboundResult } from './outbound-request.js';
-import type { OutboundRouter } from './outbound-router.js';
-import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from './refusal.js';
-import type { IngressRecord, RequestJournal } from './request-journal.js';
-import type { StopProgress } from './stop-phase.js';
-import { boundedByStop } from './stop-policy.js';
+import type { OutboundCall } from '../outbound/outbound-call.js';
+import type { OutboundResult } from '../outbound/outbound-request.js';
+import type { OutboundRouter } from '../outbound/outbound-router.js';
+import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from '../call/refusal.js';
+import type { IngressRecord, RequestJournal } from '../call/request-journal.js';
+import type { StopProgress } from '../call/stop-phase.js';
+import { boundedByStop } from '../call/stop-policy.js';
 
 /** What the exchanges of one ingress share. */
 export interface IngressExchangeOptions {
--- a/src/call/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -1,13 +1,11 @@
 /** What an ingress decides about a request once it knows its route. Pure. */
-import type { CallFrameContext } from '../link/link-frames.js';
-import type { AttemptEnvelope } from './transport.js';
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import { contextName, type CallContext } from './call-context.js';
+import { contextName, type CallContext } from '../call/call-context.js';
 import type { RandomSource } from '../common/random.js';
-import type { OutboundRequest, OutboundResult } from './outbound-request.js';
-import type { Refusal, RefusalReason } from './refusal.js';
+import type { OutboundRequest, OutboundResult } from '../outbound/outbound-request.js';
+import type { Refusal, RefusalReason } from '../call/refusal.js';
 
 /** Group of requests without a key. */
 const DEFAULT_GROUP = 'default';
@@ -65,30 +63,6 @@
   };
 }
 
-/** What an attempt of a call tells the gate: times become what remains of them. */
-export function frameContext(
-  context: CallContext,
-  { retries, isRepeat }: AttemptEnvelope,
-  now: number,
-): CallFrameContext {
-  const remainingMs = Math.max(0, context.deadlineAt - now);
-  return {
-    requestId: context.requestId,
-    kind: context.kind,
-    importance: context.importance,
-    service: context.service ?? '',
-    deadlineMs: remainingMs,
-    waitMs: Math.max(0, (context.waitUntil ?? context.deadlineAt) - now),
-    objectiveMs: context.objectiveMs ?? remainingMs,
-    retries,
-    isRepeat,
-    inheritedShare: context.inheritedShare ?? 0,
-    answerMarginMs: context.answerMarginMs ?? 0,
-    fingerprint: context.fingerprint ?? '',
-    groupRank: context.groupRank ?? 0,
-  };
-}
-
 /**
  * How a request is sent.
  * @param isNested whether targets make the calls of the route, as gates have said
--- a/src/call/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -7,7 +7,7 @@
 import { headerValue } from '../http/target-headers.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import type { Route } from '../policy/route-table.js';
-import { CallDurations } from './call-durations.js';
+import { CallDurations } from '../call/call-durations.js';
 import { accessOf } from './group-access.js';
 import {
   IngressExchange,
@@ -15,10 +15,10 @@
   type IngressExchangeOptions,
   type IngressRequest,
 } from './ingress-exchange.js';
-import type { RefusalReason } from './refusal.js';
-import type { IngressRecord } from './request-journal.js';
-import { StopPhase } from './stop-phase.js';
-import { ingressTakes } from './stop-policy.js';
+import type { RefusalReason } from '../call/refusal.js';
+import type { IngressRecord } from '../call/request-journal.js';
+import { StopPhase } from '../call/stop-phase.js';
+import { ingressTakes } from '../call/stop-policy.js';
 
 /** What the ingress is made of. */
 export interface IngressServerOptions extends IngressExchangeOptions {
--- a/src/link/peer-transport.ts
+++ b/src/link/peer-transport.ts
@@ -1,7 +1,7 @@
 /** Sends the attempts of one routed call to the sidecars beside its targets. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CallContext } from '../call/call-context.js';
-import { frameContext } from '../call/ingress-policy.js';
+import { frameContext } from './frame-context.js';
 import type { Outcome } from '../call/outcome.js';
 import type {
   Attempt,
@@ -13,7 +13,7 @@
 import { endToEndHeaders, type RawHeaders } from '../http/header-filter.js';
 import type { RequestBody } from '../http/request-body.js';
 import type { TargetHeaders } from '../http/target-headers.js';
-import type { EndpointRecord } from '../routing/endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 import type { LinkPool } from './link-pool.js';
 import type { LinkCallListener, LinkStream } from './link-stream.js';
 
--- a/src/http/instance-pool.ts
+++ b/src/membership/instance-pool.ts
@@ -1,11 +1,11 @@
 /** A sidecar's connections to the present incarnation of its target; a new one gets new ones. */
 import type { Dispatcher, Pool } from 'undici';
 import type { Clock } from '../common/clock.js';
-import { incarnationName } from '../membership/incarnation.js';
-import type { TargetReport } from '../membership/target-lease.js';
-import { CONNECT_TIMEOUT_MS, createPool } from './connection-pools.js';
-import { AnswerTimes } from './answer-times.js';
-import { ResetWatch } from './reset-watch.js';
+import { incarnationName } from './incarnation.js';
+import type { TargetReport } from './target-lease.js';
+import { CONNECT_TIMEOUT_MS, createPool } from '../http/connection-pools.js';
+import { AnswerTimes } from '../http/answer-times.js';
+import { ResetWatch } from '../http/reset-watch.js';
 
 /** Idle connections are given up before targets that say nothing of their own limit close them. */
 const IDLE_MS = 4_000;
--- a/src/membership/registration-api.ts
+++ b/src/membership/registration-api.ts
@@ -4,11 +4,11 @@
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
-import { readJsonBody } from '../control/api-request.js';
-import { apiProblem } from '../control/api-problem.js';
-import { writeJson, writeProblem } from '../control/api-response.js';
+import { readJsonBody } from '../http/api-request.js';
+import { apiProblem } from '../http/api-problem.js';
+import { writeJson, writeProblem } from '../http/api-response.js';
 import { faultsOf } from '../common/validate.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { TargetLease } from './target-lease.js';
 
 const INSTANCE_PATH = /^\/v1\/instances\/([^/?]+)$/;
--- a/src/call/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -9,16 +9,16 @@
 import { HttpTargetTransport } from '../http/target-transport.js';
 import { LOWEST_IMPORTANCE } from '../policy/importance.js';
 import { EMPTY_POLICY_TABLE, type PolicyTable } from '../policy/policy-table.js';
-import { CONTEXT_HEADER, LINK_HEADER, OUTCOME_HEADER, parseContext } from './call-context.js';
-import type { CallContext } from './call-context.js';
-import type { CallStats } from './call-stats.js';
-import { InboundCall } from './inbound-call.js';
-import type { InboundResult, InboundServices } from './inbound-services.js';
-import type { InboundRegistry } from './inbound-registry.js';
-import { formatOutcome, unbegunOutcome, type Outcome } from './outcome.js';
-import type { Refusal } from './refusal.js';
-import { requestPath } from './request-target.js';
-import { newSpanId, newTraceId, parseTraceParent } from './trace-parent.js';
+import { CONTEXT_HEADER, LINK_HEADER, OUTCOME_HEADER, parseContext } from '../call/call-context.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallStats } from '../call/call-stats.js';
+import { InboundCall } from '../gate/inbound-call.js';
+import type { InboundResult, InboundServices } from '../gate/inbound-services.js';
+import type { InboundRegistry } from '../gate/inbound-registry.js';
+import { formatOutcome, unbegunOutcome, type Outcome } from '../call/outcome.js';
+import type { Refusal } from '../call/refusal.js';
+import { requestPath } from '../call/request-target.js';
+import { newSpanId, newTraceId, parseTraceParent } from '../call/trace-parent.js';
 
 /** What the inbound side is made of. */
 export interface InboundServerOptions {
--- a/src/call/node-outbound-server.ts
+++ b/src/node/node-outbound-server.ts
@@ -10,16 +10,16 @@
 import { LOWEST_IMPORTANCE } from '../policy/importance.js';
 import { EMPTY_POLICY_TABLE, type PolicyTable } from '../policy/policy-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import type { CallContext } from './call-context.js';
-import type { CallStats } from './call-stats.js';
-import type { InboundCall } from './inbound-call.js';
-import type { InboundRegistry } from './inbound-registry.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallStats } from '../call/call-stats.js';
+import type { InboundCall } from '../gate/inbound-call.js';
+import type { InboundRegistry } from '../gate/inbound-registry.js';
 import { UNATTRIBUTED_GROUP, UNKNOWN_KIND } from './node-inbound-server.js';
-import type { OutboundResult } from './outbound-request.js';
-import type { OutboundRouter } from './outbound-router.js';
-import type { Refusal } from './refusal.js';
-import { requestPath } from './request-target.js';
-import { newTraceId, parseTraceParent } from './trace-parent.js';
+import type { OutboundResult } from '../outbound/outbound-request.js';
+import type { OutboundRouter } from '../outbound/outbound-router.js';
+import type { Refusal } from '../call/refusal.js';
+import { requestPath } from '../call/request-target.js';
+import { newTraceId, parseTraceParent } from '../call/trace-parent.js';
 
 /** What the outbound side is made of. */
 export interface OutboundServerOptions {
--- a/src/call/attempt-end.ts
+++ b/src/outbound/attempt-end.ts
@@ -1,6 +1,6 @@
 /** What the end of one attempt says of its endpoint, and of sending the request on. Pure. */
-import type { EndpointResult } from '../routing/endpoint.js';
-import { CrashNote, type Outcome } from './outcome.js';
+import type { EndpointResult } from '../call/endpoint.js';
+import { CrashNote, type Outcome } from '../call/outcome.js';
 
 /** Whether the target beside the gate is down. */
 export function isTargetDown({ crashNote }: Outcome): boolean {
--- a/src/call/outbound-call.ts
+++ b/src/outbound/outbound-call.ts
@@ -7,7 +7,7 @@
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { RetryLoan } from '../retry/retry-allowance.js';
 import { decideRetry, type FailedAttempt } from '../retry/retry-policy.js';
-import type { EndpointRecord, EndpointResult } from '../routing/endpoint.js';
+import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import type { EndpointPick } from '../routing/balancer.js';
 import { isDangerousAfter, isTargetDown, resultOf } from './attempt-end.js';
 import type {
@@ -16,15 +16,15 @@
   OutboundResult,
   OutboundServices,
 } from './outbound-request.js';
-import { CrashNote, type Outcome } from './outcome.js';
-import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from './refusal.js';
+import { CrashNote, type Outcome } from '../call/outcome.js';
+import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from '../call/refusal.js';
 import type {
   AnswerHead,
   Attempt,
   AttemptFailure,
   HeadDecision,
   OutboundTransport,
-} from './transport.js';
+} from '../call/transport.js';
 
 /** An attempt is not overdue before this time, in milliseconds: short latencies vary by more. */
 const MIN_OVERDUE_MS = 60;
--- a/src/call/outbound-request.ts
+++ b/src/outbound/outbound-request.ts
@@ -6,7 +6,7 @@
 import type { RetryAllowance } from '../retry/retry-allowance.js';
 import type { RetryCredit } from '../retry/retry-budget.js';
 import type { Balancer } from '../routing/balancer.js';
-import type { Refusal } from './refusal.js';
+import type { Refusal } from '../call/refusal.js';
 
 /** What a call asks for. */
 export interface OutboundRequest {
--- a/src/call/outbound-router.ts
+++ b/src/outbound/outbound-router.ts
@@ -7,7 +7,7 @@
 import type { ServiceDirectory } from '../routing/service-directory.js';
 import { OutboundCall } from './outbound-call.js';
 import type { OutboundListener, OutboundRequest } from './outbound-request.js';
-import type { OutboundTransport } from './transport.js';
+import type { OutboundTransport } from '../call/transport.js';
 
 /** What a router is made of. */
 export interface RouterOptions {
--- a/src/programs/edge-program.ts
+++ b/src/programs/edge-program.ts
@@ -1,17 +1,17 @@
 /** `shoredoor edge`: wires the edge together and stops it in order. */
 import { CallStats } from '../call/call-stats.js';
-import { EdgeServer } from '../call/edge-server.js';
-import { OutboundRouter } from '../call/outbound-router.js';
+import { EdgeServer } from '../edge/edge-server.js';
+import { OutboundRouter } from '../outbound/outbound-router.js';
 import { StopPhase, StopProgress, stopTimes } from '../call/stop-phase.js';
 import { SystemClock } from '../common/clock.js';
-import { ControlClient } from '../follower/control-client.js';
+import { ControlClient } from '../http/control-client.js';
 import { Follower } from '../follower/follower.js';
 import { ConnectionPools } from '../http/connection-pools.js';
 import { ListeningServer } from '../http/listening-server.js';
 import { DEFAULT_BODY_LIMITS } from '../http/request-body.js';
 import { createMetricsRegistry, startAdminServer } from '../observe/admin-server.js';
 import { registerCallMetrics } from '../observe/call-metrics.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import { ServiceDirectory } from '../routing/service-directory.js';
 import type { EdgeSettings } from '../settings/schemas.js';
 import { processRandom } from './process-random.js';
--- a/src/programs/sidecar-parts.ts
+++ b/src/programs/sidecar-parts.ts
@@ -1,7 +1,7 @@
 /** Parts of a sidecar that need nothing of one another. */
 import { AdmissionController } from '../admission/admission-controller.js';
 import type { SlotLimiter } from '../admission/slot-limiter.js';
-import { GATE_SHARING, QUEUE_WAIT_MS } from '../call/gate-policy.js';
+import { GATE_SHARING, QUEUE_WAIT_MS } from '../gate/gate-policy.js';
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
 import { ServiceDirectory } from '../routing/service-directory.js';
--- a/src/programs/sidecar-stop.ts
+++ b/src/programs/sidecar-stop.ts
@@ -5,16 +5,16 @@
  */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import { allIdle, type CallStats } from '../call/call-stats.js';
-import type { GateServer } from '../call/gate-server.js';
-import type { IngressServer } from '../call/ingress-server.js';
+import type { GateServer } from '../gate/gate-server.js';
+import type { IngressServer } from '../ingress/ingress-server.js';
 import type { RequestJournal } from '../call/request-journal.js';
 import { StopPhase, stopTimes, type DeclaredStop, type StopProgress } from '../call/stop-phase.js';
 import type { Follower } from '../follower/follower.js';
-import type { InstancePool } from '../http/instance-pool.js';
+import type { InstancePool } from '../membership/instance-pool.js';
 import type { ListeningServer } from '../http/listening-server.js';
 import type { LinkPool } from '../link/link-pool.js';
 import type { LinkServer } from '../link/link-server.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import { delay, within } from './program.js';
 
 /** Longest time that a stop waits for control to hear of it, in milliseconds. */
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../common/clock.js';
 import type { TargetReport } from '../membership/target-lease.js';
-import type { Logger } from '../observe/logger.js';
+import type { Logger } from '../common/logger.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import { CrashWatch, type WatchedRun } from './crash-watch.js';
 import { NO_SUSPECTS, type CrashNews, type CrashReport, type SuspectList } from './crash-report.js';
--- a/src/routing/balancer.ts
+++ b/src/routing/balancer.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
 import type { Outcome } from '../call/outcome.js';
-import type { EndpointRecord, EndpointResult } from './endpoint.js';
+import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import { EndpointView } from './endpoint-view.js';
 import { LatencyBaseline } from './latency-baseline.js';
 import { chooseSubset } from './subset.js';
--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -1,7 +1,7 @@
 /** One endpoint as this caller sees it: its own calls in flight, slowness, reported load, health. */
 import type { LoadReport } from '../call/outcome.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
-import type { EndpointRecord, EndpointResult } from './endpoint.js';
+import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import { OutlierDetector } from './outlier-detector.js';
 
 /** Weight of one answer in the slowness. */
--- a/src/routing/service-directory.ts
+++ b/src/routing/service-directory.ts
@@ -1,6 +1,6 @@
 /** The balancers of one process, one for each service it calls, fed from the endpoint list. */
 import { Balancer, type BalancerOptions } from './balancer.js';
-import type { EndpointRecord } from './endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 
 /** What a directory is made of; the slow start time is looked up by service. */
 export interface DirectoryOptions extends Omit<BalancerOptions, 'slowStartMs'> {
--- a/src/routing/subset.ts
+++ b/src/routing/subset.ts
@@ -4,7 +4,7 @@
  * callers, and a change of one endpoint moves few callers.
  */
 import { rendezvousScore } from '../common/rendezvous-hash.js';
-import type { EndpointRecord } from './endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 
 /** Endpoints of one service that a caller holds connections to. */
 export const DEFAULT_SUBSET_SIZE = 8;
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,6 +1,6 @@
 /** The settings of each program. Unknown keys are refused. docs/reference/settings.md lists them. */
 import { z } from 'zod';
-import { LOG_LEVELS } from '../observe/logger.js';
+import { LOG_LEVELS } from '../common/logger.js';
 import { nameSchema } from '../policy/resource-schema.js';
 import { DEFAULT_QUOTA_RULE } from '../quota/quota-rule.js';
 
--- a/src/storage/entries-after.ts
+++ b/src/storage/entries-after.ts
@@ -1,5 +1,5 @@
 /** Which entries of a log still count once others, or a snapshot, have come. */
-import type { LogEntry, Snapshot } from '../consensus/raft-types.js';
+import type { LogEntry, Snapshot } from './persisted-state.js';
 
 /** Index and term of an entry. */
 export interface LogPosition {
--- a/src/storage/load-log.ts
+++ b/src/storage/load-log.ts
@@ -1,6 +1,6 @@
 /** Reads the log and snapshot of a data folder, and judges whether they can be trusted. */
 import { decodeMessage } from '../common/message-codec.js';
-import type { HardState, LogEntry, PersistedState, Snapshot } from '../consensus/raft-types.js';
+import type { HardState, LogEntry, PersistedState, Snapshot } from './persisted-state.js';
 import { entriesAfter, replaceFrom, type LogPosition } from './entries-after.js';
 import { scanRecords } from './record-format.js';
 import type { StorageFiles } from './storage-files.js';
--- a/src/storage/log-storage.ts
+++ b/src/storage/log-storage.ts
@@ -11,7 +11,7 @@
   RaftStorage,
   Snapshot,
   StorageCallback,
-} from '../consensus/raft-types.js';
+} from './persisted-state.js';
 import { entriesAfter, LOG_ORIGIN, replaceFrom, type LogPosition } from './entries-after.js';
 import { encodeRecord } from './record-format.js';
 import { loadLog, LOG_FILE, SNAPSHOT_FILE, type LogRecord } from './load-log.js';
--- a/src/control/sync-protocol.ts
+++ b/src/sync/sync-protocol.ts
@@ -3,10 +3,9 @@
  * over HTTP POST, with the deployment's link token. `sync` is a long poll that answers when there is
  * something new, so its cost follows changes and not the size of the fleet.
  */
-import type { EndpointRecord } from '../routing/endpoint.js';
+import type { EndpointRecord } from '../call/endpoint.js';
 import type { SuspectList } from '../quarantine/crash-report.js';
-import type { EndpointChange } from './member-table.js';
-import type { ResourceChange, StoredResource } from './resource-store.js';
+import type { ResourceChange, StoredResource } from '../policy/stored-resource.js';
 
 export const HEARTBEAT_PATH = '/internal/heartbeat';
 export const SYNC_PATH = '/internal/sync';
@@ -50,3 +49,11 @@
   /** Requests under which targets have crashed; absent where the follower has this list. */
   readonly suspects?: SuspectList;
 }
+
+/** One change of the endpoint list. */
+export interface EndpointChange {
+  readonly version: number;
+  readonly id: string;
+  /** The endpoint after the change; undefined when it is gone. */
+  readonly record: EndpointRecord | undefined;
+}
--- a/test/admission/group-rank.test.ts
+++ b/test/admission/group-rank.test.ts
@@ -6,7 +6,7 @@
 import { FixedLimiter } from '../../src/admission/fixed-limiter.js';
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { GATE_SHARING, GateGroup } from '../../src/call/gate-policy.js';
+import { GATE_SHARING, GateGroup } from '../../src/gate/gate-policy.js';
 import type { Importance } from '../../src/policy/importance.js';
 
 /** Requests of groups of several ranks press on a target of one slot; all of them come while it is busy. */
--- a/test/consensus/replica-bootstrap.test.ts
+++ b/test/consensus/replica-bootstrap.test.ts
@@ -1,6 +1,7 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { ProbeFinding, RaftMessage, Replica } from '../../src/consensus/raft-types.js';
+import type { ProbeFinding, RaftMessage } from '../../src/consensus/raft-types.js';
+import type { Replica } from '../../src/storage/persisted-state.js';
 import { ReplicaBootstrap, type BootstrapDecision } from '../../src/consensus/replica-bootstrap.js';
 
 function replica(name: string, disk: number): Replica {
--- a/test/consensus/replica-changes.test.ts
+++ b/test/consensus/replica-changes.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { nextReplicaChange } from '../../src/consensus/replica-changes.js';
-import type { Replica, ReplicaSet } from '../../src/consensus/raft-types.js';
+import type { Replica, ReplicaSet } from '../../src/storage/persisted-state.js';
 
 function replica(name: string, disk = 1): Replica {
   return { identity: `${name}#${disk}`, name, origin: name, role: 'voter' };
--- a/test/control/large-change.test.ts
+++ b/test/control/large-change.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { request } from 'undici';
 import { encodeMessage } from '../../src/common/message-codec.js';
-import { NO_REVISION, SYNC_PATH, type SyncRequest } from '../../src/control/sync-protocol.js';
+import { NO_REVISION, SYNC_PATH, type SyncRequest } from '../../src/sync/sync-protocol.js';
 import { LONE_LINK_TOKEN, startLoneControl } from '../support/lone-control.js';
 import { Cleanup, until } from '../support/processes.js';
 
--- a/test/control/member-table.test.ts
+++ b/test/control/member-table.test.ts
@@ -1,6 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { MemberTable, type Heartbeat } from '../../src/control/member-table.js';
+import { MemberTable } from '../../src/control/member-table.js';
+import type { Heartbeat } from '../../src/sync/heartbeat.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 
 const LEASE_MS = 3_500;
--- a/test/control/old-data-folder.test.ts
+++ b/test/control/old-data-folder.test.ts
@@ -12,7 +12,7 @@
 import { freePorts } from '../../lab/fleet/free-ports.js';
 import { SystemClock } from '../../src/common/clock.js';
 import { StoreMachine } from '../../src/control/store-machine.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import { startControl } from '../../src/programs/control-program.js';
 import { controlSettingsSchema } from '../../src/settings/schemas.js';
 import { DiskFiles } from '../../src/storage/disk-files.js';
--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-keeper.test.ts
@@ -3,7 +3,7 @@
 import type { CommandLog } from '../../src/control/command-log.js';
 import { QuarantineKeeper } from '../../src/control/quarantine-keeper.js';
 import { ResourceStore, type Command } from '../../src/control/resource-store.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import type { QuarantineResource } from '../../src/policy/resource-schema.js';
 import { CrashEvidence } from '../../src/quarantine/crash-evidence.js';
 
--- a/test/follower/follower.test.ts
+++ b/test/follower/follower.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { HeartbeatReply } from '../../src/control/member-table.js';
+import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
 import { packSync } from '../support/pack-sync.js';
-import { HEARTBEAT_PATH, type SyncResponse } from '../../src/control/sync-protocol.js';
+import { HEARTBEAT_PATH, type SyncResponse } from '../../src/sync/sync-protocol.js';
 import {
   ExchangeFailure,
   type ControlLink,
   type Exchange,
   type ExchangeOptions,
-} from '../../src/follower/control-client.js';
+} from '../../src/http/control-client.js';
 import { HEARTBEAT_INTERVAL_MS } from '../../src/follower/follower.js';
 import { advance, createTestFollower } from '../support/test-follower.js';
 
--- a/test/follower/forgotten-connection.test.ts
+++ b/test/follower/forgotten-connection.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import { request } from 'undici';
 import { freePorts } from '../../lab/fleet/free-ports.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from '../support/lone-control.js';
 import { LoopbackProxy } from '../../lab/soak/loopback-proxy.js';
--- a/test/follower/spread.test.ts
+++ b/test/follower/spread.test.ts
@@ -2,13 +2,9 @@
 import { expect } from 'chai';
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { HeartbeatReply } from '../../src/control/member-table.js';
-import { HEARTBEAT_PATH } from '../../src/control/sync-protocol.js';
-import {
-  ExchangeFailure,
-  type ControlLink,
-  type Exchange,
-} from '../../src/follower/control-client.js';
+import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
+import { HEARTBEAT_PATH } from '../../src/sync/sync-protocol.js';
+import { ExchangeFailure, type ControlLink, type Exchange } from '../../src/http/control-client.js';
 import { advance, createTestFollower } from '../support/test-follower.js';
 
 const ORIGINS = ['lost', 'second', 'third', 'fourth'];
--- a/test/follower/stale-sync.test.ts
+++ b/test/follower/stale-sync.test.ts
@@ -1,16 +1,16 @@
 /** A sync that waits in vain is sent again, and one that waits for news is left alone. Virtual time. */
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { HeartbeatReply } from '../../src/control/member-table.js';
+import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
 import { packSync } from '../support/pack-sync.js';
-import { HEARTBEAT_PATH, type SyncResponse } from '../../src/control/sync-protocol.js';
+import { HEARTBEAT_PATH, type SyncResponse } from '../../src/sync/sync-protocol.js';
 import {
   ExchangeFailure,
   type ControlLink,
   type Exchange,
   type ExchangeOptions,
   type ExchangeProgress,
-} from '../../src/follower/control-client.js';
+} from '../../src/http/control-client.js';
 import type { Follower } from '../../src/follower/follower.js';
 import { advance, createTestFollower } from '../support/test-follower.js';
 
--- a/test/call/inbound-congestion.test.ts
+++ b/test/gate/inbound-congestion.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
-import { InboundCall } from '../../src/call/inbound-call.js';
+import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { oneSlotAdmission } from '../support/slot-gate.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
--- a/test/call/rejection-with-room.test.ts
+++ b/test/gate/rejection-with-room.test.ts
@@ -7,8 +7,8 @@
  * Settled by: 1,128 rejections of 14,974 arrivals in the whole run, where 9 s of usual demand are 9,000 arrivals.
  */
 import { expect } from 'chai';
-import { InboundCall } from '../../src/call/inbound-call.js';
-import type { InboundResult } from '../../src/call/inbound-services.js';
+import { InboundCall } from '../../src/gate/inbound-call.js';
+import type { InboundResult } from '../../src/gate/inbound-services.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
--- a/test/call/restart-with-long-runs.test.ts
+++ b/test/gate/restart-with-long-runs.test.ts
@@ -10,7 +10,7 @@
 import { KindImpact } from '../../src/admission/kind-impact.js';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import { KindUse } from '../../src/call/kind-use.js';
+import { KindUse } from '../../src/gate/kind-use.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 
 const RUN_MS = 4_600;
--- a/test/call/come-back.test.ts
+++ b/test/ingress/come-back.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { comeBackSeconds } from '../../src/call/ingress-policy.js';
+import { comeBackSeconds } from '../../src/ingress/ingress-policy.js';
 import type { Refusal } from '../../src/call/refusal.js';
 import { SeededRandom } from '../../src/common/random.js';
 import type { Route } from '../../src/policy/route-table.js';
--- a/test/membership/registration-api.test.ts
+++ b/test/membership/registration-api.test.ts
@@ -6,7 +6,7 @@
 import { SYSTEM_CLOCK } from '../../src/common/clock.js';
 import { RegistrationApi } from '../../src/membership/registration-api.js';
 import { TargetLease } from '../../src/membership/target-lease.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 
 const GOOD = {
   service: 'ledger',
--- a/test/call/overdue-refused.test.ts
+++ b/test/outbound/overdue-refused.test.ts
@@ -6,8 +6,8 @@
  */
 import { expect } from 'chai';
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
-import { OutboundCall } from '../../src/call/outbound-call.js';
-import type { OutboundResult } from '../../src/call/outbound-request.js';
+import { OutboundCall } from '../../src/outbound/outbound-call.js';
+import type { OutboundResult } from '../../src/outbound/outbound-request.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { SeededRandom } from '../../src/common/random.js';
--- a/test/call/overdue.test.ts
+++ b/test/outbound/overdue.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
-import { OutboundCall } from '../../src/call/outbound-call.js';
-import type { OutboundResult } from '../../src/call/outbound-request.js';
+import { OutboundCall } from '../../src/outbound/outbound-call.js';
+import type { OutboundResult } from '../../src/outbound/outbound-request.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type { AttemptListener, OutboundTransport } from '../../src/call/transport.js';
 import { SeededRandom } from '../../src/common/random.js';
@@ -9,7 +9,7 @@
 import { RetryAllowance } from '../../src/retry/retry-allowance.js';
 import { RetryBudget } from '../../src/retry/retry-budget.js';
 import { oneZoneBalancer } from '../support/one-zone-balancer.js';
-import type { EndpointRecord } from '../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../src/call/endpoint.js';
 
 const USUAL_MS = 20;
 const ANSWERED: Outcome = {
--- a/test/call/rejected-by-target.test.ts
+++ b/test/outbound/rejected-by-target.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
-import { OutboundCall } from '../../src/call/outbound-call.js';
+import { OutboundCall } from '../../src/outbound/outbound-call.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type { AttemptListener, OutboundTransport } from '../../src/call/transport.js';
 import { SeededRandom } from '../../src/common/random.js';
--- a/test/pins/follower-lines.test.ts
+++ b/test/pins/follower-lines.test.ts
@@ -1,9 +1,9 @@
 /** Lines of a process that follows control, literally as they are written. Virtual time. */
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { HeartbeatReply } from '../../src/control/member-table.js';
-import type { ControlLink, Exchange, ExchangeOptions } from '../../src/follower/control-client.js';
-import { ExchangeFailure } from '../../src/follower/control-client.js';
+import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
+import type { ControlLink, Exchange, ExchangeOptions } from '../../src/http/control-client.js';
+import { ExchangeFailure } from '../../src/http/control-client.js';
 import { Follower } from '../../src/follower/follower.js';
 import { CapturedLines } from '../support/captured-lines.js';
 import { packSync } from '../support/pack-sync.js';
--- a/test/pins/log-lines.test.ts
+++ b/test/pins/log-lines.test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { RequestJournal } from '../../src/call/request-journal.js';
 import { LeadershipLog } from '../../src/control/leadership-log.js';
-import { ExchangeFailure } from '../../src/follower/control-client.js';
+import { ExchangeFailure } from '../../src/http/control-client.js';
 import { SyncJournal } from '../../src/follower/sync-journal.js';
 import { EMPTY_POLICY_TABLE } from '../../src/policy/policy-table.js';
 import { CrashGuard } from '../../src/quarantine/crash-guard.js';
--- a/test/pins/metrics.test.ts
+++ b/test/pins/metrics.test.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from 'node:fs';
 import { request } from 'undici';
 import type { Program } from '../../src/programs/program.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from '../support/lone-control.js';
 import {
--- a/test/programs/report-before-set.test.ts
+++ b/test/programs/report-before-set.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { request } from 'undici';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from '../support/lone-control.js';
 import { Cleanup, until } from '../support/processes.js';
--- a/test/programs/sidecar-groups.test.ts
+++ b/test/programs/sidecar-groups.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import type { Program } from '../../src/programs/program.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from '../support/lone-control.js';
--- a/test/programs/sidecar.test.ts
+++ b/test/programs/sidecar.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { connect } from 'node:net';
 import { request } from 'undici';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import type { Program } from '../../src/programs/program.js';
 import { isFramed } from '../../src/http/target-headers.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
--- a/test/routing/balancer.test.ts
+++ b/test/routing/balancer.test.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { Balancer } from '../../src/routing/balancer.js';
-import type { EndpointRecord } from '../../src/routing/endpoint.js';
+import type { EndpointRecord } from '../../src/call/endpoint.js';
 
 const NOTHING_TRIED: ReadonlySet<string> = new Set();
 const USUAL_MS = 20;
--- a/test/storage/log-storage.test.ts
+++ b/test/storage/log-storage.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import type { LogEntry } from '../../src/consensus/raft-types.js';
+import type { LogEntry } from '../../src/storage/persisted-state.js';
 import { LOG_FILE, SNAPSHOT_FILE } from '../../src/storage/load-log.js';
 import { LogStorage, type OpenedLog } from '../../src/storage/log-storage.js';
 import { encodeRecord, scanRecords } from '../../src/storage/record-format.js';
--- a/test/support/calling-targets.ts
+++ b/test/support/calling-targets.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Agent, request } from 'undici';
-import { createLogger } from '../../src/observe/logger.js';
+import { createLogger } from '../../src/common/logger.js';
 import { within, type Program } from '../../src/programs/program.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from './lone-control.js';
--- a/test/support/captured-lines.ts
+++ b/test/support/captured-lines.ts
@@ -1,5 +1,5 @@
 /** The log lines that a test's own logger writes to standard output, as an operator's tools read them. */
-import { createLogger, type Logger } from '../../src/observe/logger.js';
+import { createLogger, type Logger } from '../../src/common/logger.js';
 
 /** A line without the fields that every line has. */
 export type CapturedLine = Readonly<Record<string, unknown>>;
--- a/test/support/crashing-targets.ts
+++ b/test/support/crashing-targets.ts
@@ -5,7 +5,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { Agent, request } from 'undici';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import type { Program } from '../../src/programs/program.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { RestartableControl } from './lone-control.js';
--- a/test/support/lone-control.ts
+++ b/test/support/lone-control.ts
@@ -1,5 +1,5 @@
 /** A store of one control replica that takes whole declared sets, as sidecars follow it. */
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import { startControl } from '../../src/programs/control-program.js';
 import type { Program } from '../../src/programs/program.js';
 import { controlSettingsSchema, type ControlSettings } from '../../src/settings/schemas.js';
--- a/test/support/pack-sync.ts
+++ b/test/support/pack-sync.ts
@@ -1,6 +1,6 @@
 /** The wire form of an answer to a sync, as a replica sends it. */
-import { packConfiguration, type PackedSync } from '../../src/control/sync-codec.js';
-import type { SyncResponse } from '../../src/control/sync-protocol.js';
+import { packConfiguration, type PackedSync } from '../../src/sync/sync-codec.js';
+import type { SyncResponse } from '../../src/sync/sync-protocol.js';
 
 export function packSync(response: SyncResponse): PackedSync {
   const { revision, resources, changes, ...endpointNews } = response;
--- a/test/support/processes.ts
+++ b/test/support/processes.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { request } from 'undici';
 import { freePorts } from '../../lab/fleet/free-ports.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 import type { Program } from '../../src/programs/program.js';
 import { startControl } from '../../src/programs/control-program.js';
 import { startEdge } from '../../src/programs/edge-program.js';
--- a/test/support/raft-cluster.ts
+++ b/test/support/raft-cluster.ts
@@ -7,13 +7,8 @@
   type ProposalOutcome,
   type RaftMechanisms,
 } from '../../src/consensus/raft-options.js';
-import type {
-  MessageTarget,
-  RaftMessage,
-  RaftStorage,
-  Replica,
-  ReplicaSet,
-} from '../../src/consensus/raft-types.js';
+import type { MessageTarget, RaftMessage } from '../../src/consensus/raft-types.js';
+import type { RaftStorage, Replica, ReplicaSet } from '../../src/storage/persisted-state.js';
 
 export const ELECTION_TIMEOUT_MS = 100;
 const LATENCY_MS = 1;
--- a/test/support/test-follower.ts
+++ b/test/support/test-follower.ts
@@ -1,9 +1,9 @@
 /** A follower of a test: in virtual time, over a link that the test makes. */
 import type { RandomSource } from '../../src/common/random.js';
 import type { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { ControlLink } from '../../src/follower/control-client.js';
+import type { ControlLink } from '../../src/http/control-client.js';
 import { Follower } from '../../src/follower/follower.js';
-import { SILENT_LOGGER } from '../../src/observe/logger.js';
+import { SILENT_LOGGER } from '../../src/common/logger.js';
 
 /** What a test chooses. */
 export interface TestFollowerOptions {
