--- /dev/null
+++ b/test/layers.test.ts
@@ -0,0 +1,77 @@
+/** Holds the order of the folders under `src/`: each imports from those named before it, and from no other. */
+import { expect } from 'chai';
+import { readdirSync, readFileSync } from 'node:fs';
+import { dirname, join, normalize, sep } from 'node:path';
+
+/** Lowest first. */
+const LAYERS = [
+  'common',
+  'policy',
+  'storage',
+  'retry',
+  'consensus',
+  'dedup',
+  'admission',
+  'quota',
+  'call',
+  'routing',
+  'http',
+  'link',
+  'membership',
+  'quarantine',
+  'outbound',
+  'ingress',
+  'gate',
+  'edge',
+  'node',
+  'sync',
+  'control',
+  'client',
+  'follower',
+  'observe',
+  'settings',
+  'programs',
+  'cli',
+] as const;
+
+const SOURCE_FOLDER = 'src';
+const IMPORT_PATTERN = /(?:from|import\()\s*'(\.[^']+)'/g;
+
+interface FolderImport {
+  readonly file: string;
+  readonly from: string;
+  readonly to: string;
+}
+
+function folderOf(path: string): string {
+  return path.split(sep)[1] ?? '';
+}
+
+function importsOf(file: string): FolderImport[] {
+  const text = readFileSync(file, 'utf8');
+  return [...text.matchAll(IMPORT_PATTERN)].map(([, specifier = '']) => ({
+    file,
+    from: folderOf(file),
+    to: folderOf(normalize(join(dirname(file), specifier))),
+  }));
+}
+
+describe('the folders of the sources', () => {
+  const files = readdirSync(SOURCE_FOLDER, { recursive: true, encoding: 'utf8' })
+    .filter((name) => name.endsWith('.ts'))
+    .map((name) => join(SOURCE_FOLDER, name));
+
+  it('are all in the order of layers', () => {
+    const folders = new Set(files.map(folderOf));
+    expect([...folders].sort()).to.deep.equal([...LAYERS].sort());
+  });
+
+  it('import from lower layers alone', () => {
+    const rank = new Map<string, number>(LAYERS.map((name, index) => [name, index]));
+    const upward = files
+      .flatMap(importsOf)
+      .filter(({ from, to }) => from !== to && rank.get(to)! >= rank.get(from)!)
+      .map(({ file, to }) => `${file} imports from ${to}`);
+    expect(upward).to.deep.equal([]);
+  });
+});
