--- a/lab/simulator/mechanisms.ts
+++ b/lab/simulator/mechanisms.ts
@@ -3,12 +3,11 @@
  * scenario can show what the mechanism is for. The product has no such switches.
  */
 import { z } from 'zod';
-import { LIMITER_NAMES } from '../../src/admission/limiter-registry.js';
 
 export const mechanismsSchema = z.strictObject({
   /** Limit algorithm of the nodes. */
-  limiter: z.enum([...LIMITER_NAMES, 'unlimited']).default('probe'),
-  sharing: z.enum(['share-first', 'importance-first', 'shares-only']).default('share-first'),
+  limiter: z.enum(['fixed', 'probe', 'unlimited']).default('probe'),
+  sharing: z.enum(['share-first', 'importance-first']).default('share-first'),
   /** Whether callers refuse early what callees would refuse. */
   throttle: z.boolean().default(true),
   /** Whether retries are bounded over the chain; otherwise every hop may retry twice. */
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -5,7 +5,8 @@
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { AdmissionController } from '../../src/admission/admission-controller.js';
 import type { ConcurrencyLimiter } from '../../src/admission/concurrency-limiter.js';
-import { createLimiter } from '../../src/admission/limiter-registry.js';
+import { FixedLimiter } from '../../src/admission/fixed-limiter.js';
+import { ProbeLimiter } from '../../src/admission/probe-limiter.js';
 import { SHARING_ORDERS } from '../../src/admission/sharing-policy.js';
 import type { CallContext } from '../../src/call/call-context.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
@@ -292,10 +293,14 @@
 
   private createLimiter(): ConcurrencyLimiter {
     const { concurrency } = this.world.table.serviceSpec(this.placement.service.name);
-    if (this.mechanisms.limiter === 'unlimited') {
-      return createLimiter('fixed', { initial: UNLIMITED, min: 1, max: UNLIMITED }, this.random);
+    switch (this.mechanisms.limiter) {
+      case 'unlimited':
+        return new FixedLimiter({ initial: UNLIMITED, min: 1, max: UNLIMITED });
+      case 'fixed':
+        return new FixedLimiter(concurrency);
+      case 'probe':
+        return new ProbeLimiter(concurrency, this.random);
     }
-    return createLimiter(this.mechanisms.limiter, concurrency, this.random);
   }
 
   private createRouter(): OutboundRouter {
--- a/src/admission/adaptive-limiter.ts
+++ b/src/admission/adaptive-limiter.ts
@@ -5,16 +5,15 @@
 import type { RandomSource } from '../common/random.js';
 import type { ServiceSpec } from '../policy/resource-schema.js';
 import { clampLimit, type ConcurrencyLimiter, type LatencySample } from './concurrency-limiter.js';
-import { createLimiter, type LimiterName } from './limiter-registry.js';
+import { FixedLimiter } from './fixed-limiter.js';
+import { ProbeLimiter } from './probe-limiter.js';
 
 type ConcurrencySpec = ServiceSpec['concurrency'];
 
-/** The algorithm behind `adaptive`; docs/design/admission.md says why. */
-export const ADAPTIVE_LIMITER: LimiterName = 'probe';
-
+/** `adaptive` probes for the slots of the target; docs/design/admission.md weighs it against other ways. */
 function build(spec: ConcurrencySpec, initial: number, random: RandomSource): ConcurrencyLimiter {
-  const name = spec.algorithm === 'fixed' ? 'fixed' : ADAPTIVE_LIMITER;
-  return createLimiter(name, { min: spec.min, max: spec.max, initial }, random);
+  const bounds = { min: spec.min, max: spec.max, initial };
+  return spec.algorithm === 'fixed' ? new FixedLimiter(bounds) : new ProbeLimiter(bounds, random);
 }
 
 export class AdaptiveLimiter implements ConcurrencyLimiter {
--- a/src/admission/group-usage.ts
+++ b/src/admission/group-usage.ts
@@ -14,11 +14,6 @@
     this.current += delta;
   }
 
-  /** Calls inside the target now. */
-  get inFlight(): number {
-    return this.current;
-  }
-
   /**
    * The use that is compared with the group's share: half the recent average, so that a group that
    * was short of its share catches up, and half the present value, so that a burst does not take
--- a/src/admission/sharing-policy.ts
+++ b/src/admission/sharing-policy.ts
@@ -40,15 +40,8 @@
 const importanceFirst: SharingOrder = (first, second) =>
   byImportance(first, second) || byShareUse(first, second);
 
-/** Shares alone: a group's use decides, importance only among equals. */
-const sharesOnly: SharingOrder = (first, second) =>
-  byShareUse(first, second) || byImportance(first, second);
-
-/** Every sharing order by name. */
+/** Every sharing order by name. The programs use `share-first`; the lab shows what starves without it. */
 export const SHARING_ORDERS = {
   'share-first': shareFirst,
   'importance-first': importanceFirst,
-  'shares-only': sharesOnly,
 } as const;
-
-export type SharingOrderName = keyof typeof SHARING_ORDERS;
--- a/src/admission/waiting-calls.ts
+++ b/src/admission/waiting-calls.ts
@@ -85,11 +85,6 @@
     return state;
   }
 
-  /** Every group seen so far. */
-  allGroups(): Iterable<GroupState<Call>> {
-    return this.groups.values();
-  }
-
   add(call: Call): void {
     const state = this.group(call.group);
     insertByExpiry(state.calls(call), call);
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -34,11 +34,6 @@
     return this.time;
   }
 
-  /** Number of events that have been scheduled and not yet run, cancelled ones included. */
-  get pending(): number {
-    return this.heap.length;
-  }
-
   schedule(delayMs: number, callback: () => void): Timer {
     const event = new ScheduledEvent(this.time + Math.max(0, delayMs), this.sequence++, callback);
     this.push(event);
--- a/src/dedup/claim-records.ts
+++ b/src/dedup/claim-records.ts
@@ -16,10 +16,6 @@
     private readonly lifetimeMs: number,
   ) {}
 
-  get size(): number {
-    return this.claims.size;
-  }
-
   /** The claim of a key that has not run out. */
   find(key: string): Readonly<KeptClaim> | undefined {
     const claim = this.claims.get(key);
--- a/src/policy/importance.ts
+++ b/src/policy/importance.ts
@@ -23,11 +23,6 @@
   return IMPORTANCE_NAMES.indexOf(name) as Importance;
 }
 
-/** The declared name of a run-time importance. */
-export function importanceName(importance: Importance): ImportanceName {
-  return IMPORTANCE_NAMES[importance];
-}
-
 /** The importance that `text` encodes as one digit, or undefined. */
 export function parseImportance(text: string): Importance | undefined {
   if (!/^[0-3]$/.test(text)) return undefined;
--- a/src/policy/route-schema.ts
+++ b/src/policy/route-schema.ts
@@ -101,7 +101,6 @@
 export type RouteResource = z.infer<typeof routeResourceSchema>;
 export type RouteSpec = RouteResource['spec'];
 export type IngressResource = z.infer<typeof ingressResourceSchema>;
-export type IngressSpec = IngressResource['spec'];
 export type DeclaredResource = z.infer<typeof declaredResourceSchema>;
 
 /** The kinds that a declared set consists of. */
--- a/src/policy/route-table.ts
+++ b/src/policy/route-table.ts
@@ -50,17 +50,11 @@
 export class RouteTable {
   /** Routes by host, then by path prefix. */
   private readonly hosts = new Map<string, Map<string, Route>>();
-  private count = 0;
 
   constructor(routes: Iterable<RouteResource>) {
     for (const resource of routes) this.add(resource);
   }
 
-  /** Number of routes. */
-  get size(): number {
-    return this.count;
-  }
-
   /** The route with the longest prefix of `path` at `host`, or undefined. */
   match(host: string | undefined, path: string): Route | undefined {
     const prefixes = this.hosts.get(hostName(host));
@@ -78,7 +72,6 @@
     const prefixes = this.hosts.get(host) ?? new Map<string, Route>();
     prefixes.set(resource.spec.pathPrefix, compile(resource));
     this.hosts.set(host, prefixes);
-    this.count += 1;
   }
 }
 
--- a/src/routing/balancer.ts
+++ b/src/routing/balancer.ts
@@ -61,11 +61,6 @@
 
   constructor(private readonly options: BalancerOptions) {}
 
-  /** Number of endpoints in the subset. */
-  get size(): number {
-    return this.views.size;
-  }
-
   /** Adopts a new list of the service's endpoints. */
   update(records: readonly EndpointRecord[]): void {
     const now = this.options.clock.now();
