--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -2,6 +2,7 @@
  * One simulated machine: a target, and the sidecar beside it with the product's own decisions at its
  * ingress and its gate. Links between machines take a fixed time and lose nothing.
  */
+import { clientRetryAfterSeconds } from '../../../src/call/retry-after.js';
 import { AdmissionController } from '../../../src/admission/admission-controller.js';
 import { CongestionLevel } from '../../../src/admission/congestion-level.js';
 import { KindImpact } from '../../../src/admission/kind-impact.js';
@@ -17,7 +18,6 @@
 import { InboundCall } from '../../../src/gate/inbound-call.js';
 import type { InboundServices } from '../../../src/gate/inbound-services.js';
 import {
-  comeBackSeconds,
   congestionOf,
   ingressContext,
   ingressRequest,
@@ -241,7 +241,11 @@
     if (result.type === 'relayed') return { status, retryAfterSeconds: 0 };
     if (result.type === 'broken') return { status: 0, retryAfterSeconds: 0 };
     const { refusal } = result;
-    const retryAfterSeconds = comeBackSeconds(route, refusal, this.world.random);
+    const retryAfterSeconds = clientRetryAfterSeconds(
+      route.objectiveMs,
+      refusal,
+      this.world.random,
+    );
     return { status: refusalStatus(refusal), retryAfterSeconds };
   }
 
--- a/src/admission/admission-controller.ts
+++ b/src/admission/admission-controller.ts
@@ -10,6 +10,7 @@
 import { HeldTimes } from './held-times.js';
 import type { SharingOrder } from './sharing-policy.js';
 import { WaitingCalls, type GroupState, type WaitingCall } from './waiting-calls.js';
+import { notAdmittedSeconds } from '../call/retry-after.js';
 
 /** A call that asks to be let in. */
 export interface AdmissionRequest {
@@ -81,7 +82,6 @@
 const LONGEST_WAIT_FACTOR = Math.max(...WAIT_FACTORS);
 /** Keeps a share above nothing, in calls. */
 const MIN_SHARE = 1e-9;
-const MAX_RETRY_AFTER_SECONDS = 10;
 const OFFERED_MEMORY_MS = 1_000;
 
 class QueuedCall implements WaitingCall, PendingAdmission {
@@ -290,14 +290,10 @@
     return (state.usage.use(clock.now()) + extraCalls) / Math.max(share, MIN_SHARE);
   }
 
-  /**
-   * When a refused caller should come back: the more is offered for each call let in, the later,
-   * and spread so that callers do not come back together.
-   */
+  /** Seconds for `Retry-After`, by how much more is offered than let in. */
   private retryAfterSeconds(): number {
     const pressure = this.offeredRecently / Math.max(1, this.admittedRecently);
-    const spread = Math.min(MAX_RETRY_AFTER_SECONDS, Math.ceil(pressure));
-    return 1 + this.options.random.below(spread);
+    return notAdmittedSeconds(pressure, this.options.random);
   }
 
   /** Lets the counts behind {@link retryAfterSeconds} fade. */
--- a/src/call/refusal.ts
+++ b/src/call/refusal.ts
@@ -29,14 +29,11 @@
   /** Targets crash under the request. */
   | 'quarantined';
 
-/** First term of a quarantine, in seconds: no invitation to try again before. */
-export const QUARANTINED_RETRY_AFTER_SECONDS = 600;
-
 /** A final answer by shoredoor itself. */
 export interface Refusal {
   readonly reason: RefusalReason;
   readonly verdict: Verdict;
-  /** Seconds until trying again makes sense; 0 where trying again does not help. */
+  /** Seconds until trying again makes sense, from `retry-after.ts`; 0 where trying again does not help. */
   readonly retryAfterSeconds: number;
   /** One sentence for people. */
   readonly detail: string;
--- a/src/edge/edge-server.ts
+++ b/src/edge/edge-server.ts
@@ -19,6 +19,7 @@
 import { StopPhase, type StopProgress } from '../call/stop-phase.js';
 import { boundedByStop } from '../call/stop-policy.js';
 import { newTraceId } from '../call/trace-parent.js';
+import { NO_RETRY_AFTER, SOON_SECONDS } from '../call/retry-after.js';
 
 /** What an edge is made of. */
 export interface EdgeServerOptions {
@@ -102,7 +103,8 @@
     reason: RefusalReason,
     detail: string,
   ): void {
-    const retryAfterSeconds = reason === 'overload' || reason === 'not-ready' ? 1 : 0;
+    const passesSoon = reason === 'overload' || reason === 'not-ready';
+    const retryAfterSeconds = passesSoon ? SOON_SECONDS : NO_RETRY_AFTER;
     this.options.stats.kind('unmatched').onRefused(reason);
     writeRefusal(response, { reason, verdict: 'not-run', retryAfterSeconds, detail }, requestId);
   }
@@ -173,5 +175,5 @@
 function bodyRefusal(reason: 'too-large' | 'request-timeout'): Refusal {
   const detail =
     reason === 'too-large' ? 'The request body is too large.' : 'The request body came too slowly.';
-  return { reason, verdict: 'not-run', retryAfterSeconds: 0, detail };
+  return { reason, verdict: 'not-run', retryAfterSeconds: NO_RETRY_AFTER, detail };
 }
--- a/src/gate/broken-run.ts
+++ b/src/gate/broken-run.ts
@@ -2,6 +2,7 @@
 import type { Verdict } from '../common/verdict.js';
 import { CrashNote } from '../call/outcome.js';
 import type { Refusal } from '../call/refusal.js';
+import { SOON_SECONDS } from '../call/retry-after.js';
 
 /** The refusal, and what it tells the caller of the target. */
 export interface BrokenRun {
@@ -9,8 +10,6 @@
   readonly crashNote: CrashNote | undefined;
 }
 
-const RETRY_AFTER_SECONDS = 1;
-
 /**
  * @param verdict whether the request may have run
  * @param isDown whether the target refuses connections, or another incarnation is in its place
@@ -21,7 +20,7 @@
   isDown: boolean,
   isLikelyCause: boolean,
 ): BrokenRun {
-  const retryAfterSeconds = RETRY_AFTER_SECONDS;
+  const retryAfterSeconds = SOON_SECONDS;
   if (!isDown) {
     const detail = 'The connection to the target broke.';
     const refusal: Refusal = { reason: 'unreachable', verdict, retryAfterSeconds, detail };
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -33,8 +33,8 @@
   HeadDecision,
   TargetTransport,
 } from '../call/transport.js';
+import { NO_RETRY_AFTER, SOON_SECONDS } from '../call/retry-after.js';
 
-const LEAVING_RETRY_AFTER_SECONDS = 1;
 /** Part of its limit from which a target counts as full: reports of its slots may be a little old. */
 const FULL_PART = 0.8;
 const STATUS_SERVER_ERROR = 500;
@@ -93,7 +93,7 @@
   /** Starts the call. The listener may hear the result before this returns. */
   start(): void {
     if (this.services.isLeaving(this.context.kind)) {
-      this.refuse('leaving', 'not-run', LEAVING_RETRY_AFTER_SECONDS, 'The target is leaving.');
+      this.refuse('leaving', 'not-run', SOON_SECONDS, 'The target is leaving.');
       return;
     }
     if (!this.kindUse.tryEnter(this.isNested)) {
@@ -101,13 +101,18 @@
       this.refuse(
         'overload',
         'not-run',
-        1,
+        SOON_SECONDS,
         'Calls that the target makes for this kind are held up.',
       );
       return;
     }
     if (!this.repeatUse.tryEnter()) {
-      this.refuse('retry-budget', 'not-run', 1, 'The service has had all the repeats that it may.');
+      this.refuse(
+        'retry-budget',
+        'not-run',
+        SOON_SECONDS,
+        'The service has had all the repeats that it may.',
+      );
       return;
     }
     const { group, groupRank, kind, importance, deadlineAt, waitUntil } = this.context;
@@ -200,10 +205,10 @@
     }
     this.claim = undefined;
     if (decision.type === 'unknown') {
-      this.refuse('duplicate-unknown', 'not-run', 1, decision.detail);
+      this.refuse('duplicate-unknown', 'not-run', SOON_SECONDS, decision.detail);
       return;
     }
-    this.refuse('duplicate', decision.verdict, 0, decision.detail);
+    this.refuse('duplicate', decision.verdict, NO_RETRY_AFTER, decision.detail);
   }
 
   private forward(): void {
@@ -266,12 +271,17 @@
       this.refusedForOverload = fault === 'not-executed' && isFull;
       if (fault === 'misdirected') this.services.onMisdirected?.(expectedIncarnation ?? '');
       const reason = this.refusedForOverload ? 'overload' : 'unavailable';
-      this.refuse(reason, 'not-run', 1, 'The target turned the request away.');
+      this.refuse(reason, 'not-run', SOON_SECONDS, 'The target turned the request away.');
       return;
     }
     // What follows on this connection can't be told apart either.
     this.attempt?.cancel();
-    this.refuse('broken-answer', 'may-have-run', 0, 'The answer was not to this request.');
+    this.refuse(
+      'broken-answer',
+      'may-have-run',
+      NO_RETRY_AFTER,
+      'The answer was not to this request.',
+    );
   }
 
   private onEnd(): void {
@@ -291,7 +301,7 @@
     const verdict: Verdict = failure.written ? 'may-have-run' : 'not-run';
     if (!failure.written) this.claim?.release();
     if (failure.reason === 'caller-gone') {
-      this.refuse('bad-request', verdict, 0, 'The request body broke off.');
+      this.refuse('bad-request', verdict, NO_RETRY_AFTER, 'The request body broke off.');
       return;
     }
     if (targetState === undefined) {
@@ -321,7 +331,7 @@
       this.finish({ type: 'broken', verdict: 'ran' });
       return;
     }
-    this.refuse(reason, verdict, 1, detail);
+    this.refuse(reason, verdict, SOON_SECONDS, detail);
   }
 
   /** Stops whatever the call is doing. */
--- a/src/ingress/ingress-exchange.ts
+++ b/src/ingress/ingress-exchange.ts
@@ -18,17 +18,18 @@
 import type { CallContext } from '../call/call-context.js';
 import type { CallDurations } from '../call/call-durations.js';
 import type { CallStats } from '../call/call-stats.js';
-import {
-  comeBackSeconds,
-  congestionOf,
-  ingressContext,
-  ingressRequest,
-  quotaWaitMs,
-} from './ingress-policy.js';
+import { congestionOf, ingressContext, ingressRequest, quotaWaitMs } from './ingress-policy.js';
 import type { OutboundCall } from '../outbound/outbound-call.js';
 import type { OutboundResult } from '../outbound/outbound-request.js';
 import type { OutboundRouter } from '../outbound/outbound-router.js';
-import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from '../call/refusal.js';
+import type { Refusal } from '../call/refusal.js';
+import {
+  clientRetryAfterSeconds,
+  headerSeconds,
+  NO_RETRY_AFTER,
+  QUARANTINED_SECONDS,
+  SOON_SECONDS,
+} from '../call/retry-after.js';
 import type { IngressRecord, RequestJournal } from '../call/request-journal.js';
 import type { StopProgress } from '../call/stop-phase.js';
 import { boundedByStop } from '../call/stop-policy.js';
@@ -64,11 +65,9 @@
 const QUARANTINED: Refusal = {
   reason: 'quarantined',
   verdict: 'not-run',
-  retryAfterSeconds: QUARANTINED_RETRY_AFTER_SECONDS,
+  retryAfterSeconds: QUARANTINED_SECONDS,
   detail: 'Targets crash under the request.',
 };
-/** Milliseconds are as fine as clients can keep to. */
-const RETRY_AFTER_DECIMALS = 3;
 
 /** A request whose route is known. */
 export interface IngressRequest {
@@ -120,7 +119,12 @@
       else {
         this.response.shouldKeepAlive = false;
         const detail = 'The request body was not taken.';
-        this.refuse({ reason: fault, verdict: 'not-run', retryAfterSeconds: 0, detail });
+        this.refuse({
+          reason: fault,
+          verdict: 'not-run',
+          retryAfterSeconds: NO_RETRY_AFTER,
+          detail,
+        });
       }
     });
   }
@@ -143,7 +147,12 @@
     if (this.call !== undefined) this.call.endWithProcess();
     else if (!this.response.headersSent) {
       const detail = 'The process had to end before the request was read.';
-      this.refuse({ reason: 'leaving', verdict: 'not-run', retryAfterSeconds: 1, detail });
+      this.refuse({
+        reason: 'leaving',
+        verdict: 'not-run',
+        retryAfterSeconds: SOON_SECONDS,
+        detail,
+      });
     }
   }
 
@@ -253,8 +262,9 @@
   private refuse(refusal: Refusal): void {
     this.options.stats.kind(this.route.name).onRefused(refusal.reason);
     this.options.journal.onIngress(this.record(), refusal);
-    const seconds = comeBackSeconds(this.route, refusal, this.options.random);
-    const retryAfterSeconds = retryAfterOf(seconds, this.options.fractionalRetryAfter);
+    const { random, fractionalRetryAfter } = this.options;
+    const seconds = clientRetryAfterSeconds(this.route.objectiveMs, refusal, random);
+    const retryAfterSeconds = headerSeconds(seconds, fractionalRetryAfter);
     writeRefusal(this.response, { ...refusal, retryAfterSeconds }, this.context.requestId);
   }
 
@@ -271,8 +281,3 @@
     };
   }
 }
-
-/** Seconds as clients can read them. */
-export function retryAfterOf(seconds: number, isFractional: boolean): number {
-  return isFractional ? Number(seconds.toFixed(RETRY_AFTER_DECIMALS)) : Math.ceil(seconds);
-}
--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -5,7 +5,6 @@
 import { contextName, type CallContext } from '../call/call-context.js';
 import type { RandomSource } from '../common/random.js';
 import type { OutboundRequest, OutboundResult } from '../outbound/outbound-request.js';
-import type { Refusal, RefusalReason } from '../call/refusal.js';
 
 /** Group of requests without a key. */
 const DEFAULT_GROUP = 'default';
@@ -16,20 +15,8 @@
 /** Targets that are tried after one has refused for overload. */
 const OVERLOAD_REROUTES = 1;
 
-/**
- * Mean part of its objective after which a refused request is to come again, and how far it spreads around
- * that, so that requests refused together do not return together. Early enough to be answered within the
- * objective then, which a longer wait excludes, and late enough for what waits at gates now to be gone.
- * docs/design/platform.md gives what 0.1 to 0.5 were worth.
- */
-const COME_BACK_PART = 0.25;
-const COME_BACK_SPREAD = 0.5;
-const MILLISECONDS = 1_000;
-/** Part of its objective that a request may wait for a place in the quota of its group. */
+/** Part of its objective that a request may wait for a permit in the quota of its group. */
 const QUOTA_WAIT_PART = 0.1;
-/** Refusals that say themselves when the request may run. */
-const KNOWN_WAITS: ReadonlySet<RefusalReason> = new Set(['quarantined', 'rate-limited']);
-
 /** What a request brings besides its route. */
 export interface IngressArrival {
   readonly requestId: string;
@@ -94,15 +81,6 @@
   return objectiveMs * QUOTA_WAIT_PART;
 }
 
-/** Seconds after which a request that got this refusal is to come again; 0 where that does not help. */
-export function comeBackSeconds(route: Route, refusal: Refusal, random: RandomSource): number {
-  if (refusal.verdict !== 'not-run' || refusal.retryAfterSeconds === 0) return 0;
-  // It would be refused as well within the objective.
-  if (KNOWN_WAITS.has(refusal.reason)) return refusal.retryAfterSeconds;
-  const factor = 1 - COME_BACK_SPREAD + 2 * COME_BACK_SPREAD * random.next();
-  return (route.objectiveMs * COME_BACK_PART * factor) / MILLISECONDS;
-}
-
 /** How congested a call that the target of this machine made was below, 0 to 1. */
 export function congestionOf(result: Exclude<OutboundResult, { type: 'broken' }>): number {
   const isLost =
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -11,11 +11,17 @@
 import { accessOf } from './group-access.js';
 import {
   IngressExchange,
-  retryAfterOf,
   type IngressExchangeOptions,
   type IngressRequest,
 } from './ingress-exchange.js';
 import type { RefusalReason } from '../call/refusal.js';
+import {
+  headerSeconds,
+  NO_RETRY_AFTER,
+  SOON_SECONDS,
+  staleConfigurationSeconds,
+  stoppingSeconds,
+} from '../call/retry-after.js';
 import type { IngressRecord } from '../call/request-journal.js';
 import { StopPhase } from '../call/stop-phase.js';
 import { ingressTakes } from '../call/stop-policy.js';
@@ -35,12 +41,8 @@
 const STATUS_HEADERS_TOO_LARGE = 431;
 /** Bytes of a header line besides name and value: colon, space, line end. */
 const HEADER_LINE_BYTES = 4;
-const NOT_READY_RETRY_SECONDS = 1;
-/** A leader that is lost is followed by another one within 1 to 3 s. */
-const STALE_RETRY_SECONDS = 2;
 /** Trying again does not help. */
 const FINAL_REASONS: ReadonlySet<RefusalReason> = new Set(['unknown-kind', 'unknown-group']);
-const MILLISECONDS = 1_000;
 
 export class IngressServer {
   private readonly underWay = new Set<IngressExchange>();
@@ -114,14 +116,12 @@
     exchange.start(() => this.underWay.delete(exchange));
   }
 
-  private waitSeconds(reason: RefusalReason): number {
+  private retryAfterSeconds(reason: RefusalReason): number {
     const { stop, random } = this.options;
-    if (reason === 'leaving') {
-      return NOT_READY_RETRY_SECONDS + stop.drainTimeLeftMs / MILLISECONDS;
-    }
-    // Spread, so that those who were refused together do not return together.
-    if (reason === 'stale-configuration') return STALE_RETRY_SECONDS * (0.5 + random.next());
-    return NOT_READY_RETRY_SECONDS;
+    if (FINAL_REASONS.has(reason)) return NO_RETRY_AFTER;
+    if (reason === 'leaving') return stoppingSeconds(stop.drainTimeLeftMs);
+    if (reason === 'stale-configuration') return staleConfigurationSeconds(random);
+    return SOON_SECONDS;
   }
 
   private refuse(
@@ -131,9 +131,7 @@
     detail: string,
   ): void {
     const { fractionalRetryAfter } = this.options;
-    const retryAfterSeconds = FINAL_REASONS.has(reason)
-      ? 0
-      : retryAfterOf(this.waitSeconds(reason), fractionalRetryAfter);
+    const retryAfterSeconds = headerSeconds(this.retryAfterSeconds(reason), fractionalRetryAfter);
     const requestId = headerValue(message.headers, this.options.transport.names.requestId) ?? '';
     this.options.stats.kind('unmatched').onRefused(reason);
     this.options.journal.onRefusedEarly(requestId, { reason, detail });
--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -19,6 +19,7 @@
 import type { Refusal } from '../call/refusal.js';
 import { requestPath } from '../call/request-target.js';
 import { newSpanId, newTraceId, parseTraceParent } from '../call/trace-parent.js';
+import { NO_RETRY_AFTER } from '../call/retry-after.js';
 
 /** What the inbound side is made of. */
 export interface InboundServerOptions {
@@ -185,7 +186,7 @@
   private refuseBody(reason: 'too-large' | 'request-timeout'): void {
     const detail = 'The request body was not taken.';
     const outcome = unbegunOutcome(reason, this.context.retries);
-    this.refuse({ reason, verdict: 'not-run', retryAfterSeconds: 0, detail }, outcome);
+    this.refuse({ reason, verdict: 'not-run', retryAfterSeconds: NO_RETRY_AFTER, detail }, outcome);
   }
 
   private refuse(refusal: Refusal, outcome: Outcome): void {
--- a/src/node/node-outbound-server.ts
+++ b/src/node/node-outbound-server.ts
@@ -20,6 +20,7 @@
 import type { Refusal } from '../call/refusal.js';
 import { requestPath } from '../call/request-target.js';
 import { newTraceId, parseTraceParent } from '../call/trace-parent.js';
+import { NO_RETRY_AFTER, SOON_SECONDS } from '../call/retry-after.js';
 
 /** What the outbound side is made of. */
 export interface OutboundServerOptions {
@@ -74,7 +75,8 @@
     this.response.once('close', () => stats.onFinish());
     if (!hasService(this.service)) {
       const detail = 'The Host header names no service with a known target.';
-      this.refuse({ reason: 'unknown-service', verdict: 'not-run', retryAfterSeconds: 1, detail });
+      const retryAfterSeconds = SOON_SECONDS;
+      this.refuse({ reason: 'unknown-service', verdict: 'not-run', retryAfterSeconds, detail });
       return;
     }
     readRequestBody(this.message, bodyLimits, (body, fault) => {
@@ -82,7 +84,12 @@
       else if (fault === 'caller-gone' || fault === undefined) this.response.destroy();
       else {
         const detail = 'The request body was not taken.';
-        this.refuse({ reason: fault, verdict: 'not-run', retryAfterSeconds: 0, detail });
+        this.refuse({
+          reason: fault,
+          verdict: 'not-run',
+          retryAfterSeconds: NO_RETRY_AFTER,
+          detail,
+        });
       }
     });
   }
--- a/src/outbound/outbound-call.ts
+++ b/src/outbound/outbound-call.ts
@@ -17,7 +17,13 @@
   OutboundServices,
 } from './outbound-request.js';
 import { CrashNote, type Outcome } from '../call/outcome.js';
-import { QUARANTINED_RETRY_AFTER_SECONDS, type Refusal } from '../call/refusal.js';
+import type { Refusal } from '../call/refusal.js';
+import {
+  NO_RETRY_AFTER,
+  QUARANTINED_SECONDS,
+  SOON_SECONDS,
+  throttledSeconds,
+} from '../call/retry-after.js';
 import type {
   AnswerHead,
   Attempt,
@@ -30,8 +36,6 @@
 const MIN_OVERDUE_MS = 60;
 /** Part of the time left after which giving up an attempt for another one is of no use. */
 const MAX_OVERDUE_PART = 0.7;
-const BUSY_RETRY_AFTER_SECONDS = 1;
-const MAX_RETRY_AFTER_SECONDS = 10;
 const STATUS_OVERLOADED = 503;
 
 /** An attempt that is under way. */
@@ -372,14 +376,14 @@
   }
 
   private retryAfterSeconds(reason: Refusal['reason']): number {
-    if (reason === 'bad-request' || reason === 'duplicate') return 0;
-    if (reason === 'quarantined') return QUARANTINED_RETRY_AFTER_SECONDS;
-    if (reason !== 'overload') return BUSY_RETRY_AFTER_SECONDS;
+    if (reason === 'bad-request' || reason === 'duplicate') return NO_RETRY_AFTER;
+    if (reason === 'quarantined') return QUARANTINED_SECONDS;
+    if (reason !== 'overload') return SOON_SECONDS;
     const pressure = this.services.throttle.pressure(
       this.request.trafficClass,
       this.services.clock.now(),
     );
-    return Math.min(MAX_RETRY_AFTER_SECONDS, Math.ceil(pressure));
+    return throttledSeconds(pressure);
   }
 
   private finish(result: OutboundResult): void {
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -11,6 +11,7 @@
   type QuotaReport,
 } from './quota-messages.js';
 import { SlidingCount } from './sliding-count.js';
+import { rateLimitedSeconds } from '../call/retry-after.js';
 
 /** What the quota of an ingress is made of. */
 export interface IngressQuotaOptions {
@@ -48,12 +49,6 @@
 const EXHAUSTED_INTERVAL_MS = 400;
 /** Groups that are remembered without a request in the last window. */
 const MAX_IDLE_GROUPS = 1_000;
-const MILLISECONDS = 1_000;
-/** A caller that was refused is told to wait at least this long, in seconds: about an answer of control. */
-const MIN_RETRY_AFTER_SECONDS = 0.2;
-/** The same without a grant, in seconds: a leader is found within 1 to 3 s. */
-const NO_GRANT_RETRY_AFTER_SECONDS = 2;
-
 /** A request that waits for a permit. */
 interface Waiter {
   readonly timer: Timer;
@@ -167,10 +162,8 @@
   retryAfterSeconds(group: string): number {
     const state = this.groups.get(group);
     const now = this.options.clock.now();
-    if (state === undefined || state.validUntil <= now || state.allowance < 1) {
-      return NO_GRANT_RETRY_AFTER_SECONDS;
-    }
-    return Math.max(MIN_RETRY_AFTER_SECONDS, state.used.msToNextExpiry(now) / MILLISECONDS);
+    const isGranted = state !== undefined && state.validUntil > now && state.allowance >= 1;
+    return rateLimitedSeconds(isGranted ? state.used.msToNextExpiry(now) : undefined);
   }
 
   private tryAcquire(state: GroupState, now: number): QuotaPermit | undefined {
