--- a/src/policy/group-schema.ts
+++ b/src/policy/group-schema.ts
@@ -28,7 +28,8 @@
   }),
 });
 
-export type GroupResource = z.infer<typeof groupResourceSchema>;
+/** A group as it was declared: sets are kept as they came, so defaults of the schema are not filled in. */
+export type GroupResource = z.input<typeof groupResourceSchema>;
 
 /** A group and its place among the resources of a set. */
 export interface PlacedGroup {
@@ -41,7 +42,7 @@
   const owners = new Map<string, string>();
   const faults: Fault[] = [];
   for (const { index, group } of groups) {
-    for (const key of group.spec.keys) {
+    for (const key of group.spec.keys ?? []) {
       const owner = owners.get(key);
       if (owner !== undefined && owner !== group.name) {
         const message = `shares an API key with Group '${owner}'`;
