--- a/src/cli/run-program.ts
+++ b/src/cli/run-program.ts
@@ -42,8 +42,6 @@
   const logger = createLogger(name, settings.id, settings.logLevel);
   await prepareHashing();
   const program = await startOrEnd(() => start(settings, logger), logger);
-  // One line among the log lines on standard output tells supervisors which ports were bound.
-  process.stdout.write(`${JSON.stringify({ id: settings.id, origins: program.origins })}\n`);
   let stopping = false;
   const stop = (): void => {
     if (stopping) return;
@@ -66,4 +64,7 @@
       logger.error('Settings were not adopted.', { error: String(error) });
     }
   });
+  // One line among the log lines on standard output tells supervisors which ports were bound. It comes after the
+  // handlers: a supervisor that stops the program on this line would kill it otherwise.
+  process.stdout.write(`${JSON.stringify({ id: settings.id, origins: program.origins })}\n`);
 }
