--- a/test/control/old-data-folder.test.ts
+++ b/test/control/old-data-folder.test.ts
@@ -50,6 +50,8 @@
 const STEPS = readJson('test/fixtures/data-folder-steps.json') as readonly {
   readonly steps: readonly { readonly type: string; readonly command: unknown }[];
 }[];
+/** Term of the newest entry of the folder. A replica may stand more than once before its own vote is synced. */
+const LAST_TERM = 3;
 const SET_KINDS = ['Route', 'Service', 'Ingress', 'Group'];
 const CURRENT_SET = STATE.resources
   .map(({ resource }) => resource)
@@ -102,10 +104,10 @@
       return outcome.result;
     }
 
-    it('gives every resource, remembered answer and declared set, in the next term', () => {
+    it('gives every resource, remembered answer and declared set, in a later term', () => {
       expect(state()).to.deep.equal(STATE);
       const { term, commitIndex, voters, learners, replicasSettled } = replica.log.status();
-      expect(term).to.equal(4);
+      expect(term).to.be.above(LAST_TERM);
       expect(commitIndex).to.equal(25);
       expect(voters).to.deep.equal(['control-1']);
       expect(learners).to.deep.equal([]);
@@ -170,6 +172,8 @@
       const control = await startControl(controlSettingsSchema.parse(settings), SILENT_LOGGER);
       cleanup.add(() => control.stop());
       await untilReady(control);
+      // A leader that has just been elected refuses reads and sets until the first entry of its term is synced.
+      await until(async () => (await call('GET', '/v1/resources')).status === 200);
     });
 
     async function call(
