--- a/test/docs/names-in-docs.test.ts
+++ b/test/docs/names-in-docs.test.ts
@@ -12,6 +12,8 @@
 const SOURCE_FOLDERS = ['src', 'lab', 'platform'];
 /** Recorded scrapes of every program, which tests compare with the programs themselves. */
 const FIXTURES = 'test/fixtures';
+/** Every log call of the sources, with its text. */
+const LOG_LINES = 'test/fixtures/log-lines.txt';
 const METRIC_LIST = /metrics-\w+\.txt$/;
 
 const PATH_PATTERN =
@@ -20,6 +22,9 @@
 const METRIC_PATTERN = /shoredoor_[a-z_]*[a-z](?![a-z_*])/g;
 const COMMAND_PATTERN = /(?:^|`)shoredoor(-lab)? ([a-z][a-z-]+)/gm;
 
+/** A log line as the pages quote it: prefix of its part, and its text. */
+const LOG_LINE_PATTERN = /`[a-z]+: ([A-Z][^`]*[.:])(?: [^`]*)?`/g;
+
 /** Suffixes that prom-client adds to the name of a histogram. */
 const HISTOGRAM_SUFFIX = /_(bucket|sum|count)$/;
 
@@ -45,7 +50,9 @@
 function found(pattern: RegExp, group: number): Map<string, string> {
   const names = new Map<string, string>();
   for (const { name, text } of pages()) {
-    for (const match of text.matchAll(pattern)) names.set(match[group]!, name);
+    for (const match of text.matchAll(pattern)) {
+      names.set(match[group]!.replace(/\s+/g, ' '), name);
+    }
   }
   return names;
 }
@@ -93,6 +100,12 @@
     expect(missing(names, isKnown)).to.deep.equal([]);
   });
 
+  it('quote log lines that exist', () => {
+    const lines = readFileSync(LOG_LINES, 'utf8');
+    const names = found(LOG_LINE_PATTERN, 1);
+    expect(missing(names, (name) => lines.includes(name))).to.deep.equal([]);
+  });
+
   it('name commands that exist', () => {
     const names = found(COMMAND_PATTERN, 2);
     expect(missing(names, (name) => source.includes(`'${name}`))).to.deep.equal([]);
