--- a/lab/capacity/simulate-distribution.ts
+++ b/lab/capacity/simulate-distribution.ts
@@ -1,7 +1,7 @@
 /** Simulates how long a change takes to be in force at many followers, some behind slow links. */
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { ALL_RAFT_MECHANISMS } from '../../src/consensus/raft-options.js';
+import { ALL_RAFT_MECHANISMS } from '../simulator/replication/raft-mechanisms.js';
 import { parseResource } from '../../src/policy/resource-schema.js';
 import { ReplicationChecker } from '../simulator/replication/replication-checker.js';
 import { ReplicationNetwork } from '../simulator/replication/replication-network.js';
--- /dev/null
+++ b/lab/simulator/replication/raft-mechanisms.ts
@@ -0,0 +1,65 @@
+/**
+ * Takes safeguards off the replicated log from outside, so that a scenario can show what each is for. The product has no
+ * such switches: it always runs the classes that these extend.
+ */
+import { Election } from '../../../src/consensus/election.js';
+import { Leadership } from '../../../src/consensus/leadership.js';
+import type { RaftParts } from '../../../src/consensus/raft-node.js';
+
+/** Safeguards of the replicated log; true where the product's own rule holds. */
+export interface RaftMechanisms {
+  /** A replica asks whether it would be elected before it raises the term. */
+  readonly preVote: boolean;
+  /** A leader that a majority does not answer steps down. */
+  readonly checkQuorum: boolean;
+  /** A majority confirms the leader before a read is served. */
+  readonly confirmReads: boolean;
+  /** A learner becomes a voter only once it has caught up. */
+  readonly catchUpBeforeVote: boolean;
+}
+
+/** Everything on. */
+export const ALL_RAFT_MECHANISMS: RaftMechanisms = {
+  preVote: true,
+  checkQuorum: true,
+  confirmReads: true,
+  catchUpBeforeVote: true,
+};
+
+/** The parts of a replica without the safeguards that are off. */
+export function raftPartsWith(mechanisms: RaftMechanisms): RaftParts {
+  return { Election: electionWith(mechanisms), Leadership: leadershipWith(mechanisms) };
+}
+
+function electionWith({ preVote }: RaftMechanisms): typeof Election {
+  return class extends Election {
+    protected override stand(): void {
+      if (preVote) super.stand();
+      else this.becomeCandidate();
+    }
+  };
+}
+
+function leadershipWith(mechanisms: RaftMechanisms): typeof Leadership {
+  return class extends Leadership {
+    override get confirmedAt(): number | undefined {
+      const { state } = this;
+      if (mechanisms.confirmReads || state.role !== 'leader') return super.confirmedAt;
+      return state.now;
+    }
+
+    override confirmRead(callback: (index: number | undefined) => void): void {
+      const { state } = this;
+      if (mechanisms.confirmReads || !state.hasCommittedInTerm) super.confirmRead(callback);
+      else callback(state.commitIndex);
+    }
+
+    protected override hasQuorum(): boolean {
+      return !mechanisms.checkQuorum || super.hasQuorum();
+    }
+
+    protected override hasCaughtUp(identity: string): boolean {
+      return !mechanisms.catchUpBeforeVote || super.hasCaughtUp(identity);
+    }
+  };
+}
--- a/lab/simulator/replication/replication-world.ts
+++ b/lab/simulator/replication/replication-world.ts
@@ -4,8 +4,8 @@
  */
 import { SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
-import { ALL_RAFT_MECHANISMS, type RaftMechanisms } from '../../../src/consensus/raft-options.js';
 import type { Replica } from '../../../src/storage/persisted-state.js';
+import { ALL_RAFT_MECHANISMS, type RaftMechanisms } from './raft-mechanisms.js';
 import { ReplicationChecker } from './replication-checker.js';
 import { ReplicationFaults } from './replication-faults.js';
 import { ReplicationNetwork, type MessageFaults } from './replication-network.js';
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -1,7 +1,6 @@
 /** One control replica in virtual time: machine, disk, log and store, as the control program has them. */
 import { decodeMessage, encodeMessage } from '../../../src/common/message-codec.js';
 import { SeededRandom } from '../../../src/common/random.js';
-import type { RaftMechanisms } from '../../../src/consensus/raft-options.js';
 import { ReplicaHost } from '../../../src/consensus/replica-host.js';
 import type { MessageTarget, RaftMessage } from '../../../src/consensus/raft-types.js';
 import type { Replica } from '../../../src/storage/persisted-state.js';
@@ -23,6 +22,7 @@
 import { CrashEvidence } from '../../../src/quarantine/crash-evidence.js';
 import type { ReplicationChecker } from './replication-checker.js';
 import type { ReplicationNetwork } from './replication-network.js';
+import { raftPartsWith, type RaftMechanisms } from './raft-mechanisms.js';
 import { SimDisk } from './sim-disk.js';
 
 /** What a client hears of its change. */
@@ -116,7 +116,7 @@
       electionTimeoutMs: ELECTION_TIMEOUT_MS,
       snapshotInterval: SNAPSHOT_INTERVAL,
       drawIdentity: () => this.drawIdentity(),
-      mechanisms,
+      parts: raftPartsWith(mechanisms),
     });
     this.host.start();
   }
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -14,7 +14,7 @@
   private votes = new Set<string>();
 
   constructor(
-    private readonly state: RaftState,
+    protected readonly state: RaftState,
     private readonly onElected: () => void,
   ) {}
 
@@ -97,12 +97,12 @@
     }
   }
 
-  private stand(): void {
-    if (this.state.mechanisms.preVote) this.askForVotes('pre-candidate');
-    else this.becomeCandidate();
+  /** Asks first whether the others would elect this replica: one that was cut off raises no term when it returns. */
+  protected stand(): void {
+    this.askForVotes('pre-candidate');
   }
 
-  private becomeCandidate(): void {
+  protected becomeCandidate(): void {
     const { state } = this;
     state.term += 1;
     state.votedFor = state.identity;
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -22,7 +22,7 @@
   private confirmedSince: number | undefined;
 
   constructor(
-    private readonly state: RaftState,
+    protected readonly state: RaftState,
     private readonly applied: AppliedLog,
     private readonly reads: PendingReads,
   ) {
@@ -31,9 +31,7 @@
 
   /** See `RaftStatus.confirmedAt`. */
   get confirmedAt(): number | undefined {
-    const { state } = this;
-    if (state.role !== 'leader') return undefined;
-    return state.mechanisms.confirmReads ? this.confirmedSince : state.now;
+    return this.state.role === 'leader' ? this.confirmedSince : undefined;
   }
 
   /** This replica was elected. */
@@ -110,10 +108,6 @@
       callback(undefined);
       return;
     }
-    if (!state.mechanisms.confirmReads) {
-      callback(state.commitIndex);
-      return;
-    }
     this.beginRound();
     this.reads.addUnconfirmed(this.round, state.commitIndex, callback);
     for (const peer of state.peers) this.sendEntries(peer);
@@ -138,7 +132,7 @@
   private heartbeat(): void {
     const { state } = this;
     if (!state.active || state.role !== 'leader') return;
-    if (state.mechanisms.checkQuorum && !this.hasQuorum()) {
+    if (!this.hasQuorum()) {
       state.stepDown();
       return;
     }
@@ -151,7 +145,7 @@
   }
 
   /** Whether a majority has answered within an election timeout. */
-  private hasQuorum(): boolean {
+  protected hasQuorum(): boolean {
     const { state } = this;
     const since = state.now - state.options.electionTimeoutMs;
     const answered = state.log.replicas.voters.filter(
@@ -266,8 +260,7 @@
     const { state } = this;
     const silentMs = SILENT_TIMEOUTS * state.options.electionTimeoutMs;
     const next = nextReplicaChange(state.log.replicas, {
-      hasCaughtUp: (identity) =>
-        !state.mechanisms.catchUpBeforeVote || this.of(identity).matchIndex >= state.commitIndex,
+      hasCaughtUp: (identity) => this.hasCaughtUp(identity),
       isSilent: (identity) =>
         identity !== state.identity && state.now - this.of(identity).heardAt > silentMs,
       voterTarget: state.options.voterTarget ?? Infinity,
@@ -275,6 +268,11 @@
     if (next !== undefined) this.appendReplicas(next);
   }
 
+  /** Whether the replica has everything that is committed on its disk: a voter without it could not be counted on. */
+  protected hasCaughtUp(identity: string): boolean {
+    return this.of(identity).matchIndex >= this.state.commitIndex;
+  }
+
   private appendReplicas(replicas: ReplicaSet): void {
     this.append({ type: 'replicas', replicas });
   }
--- a/src/consensus/raft-node.ts
+++ b/src/consensus/raft-node.ts
@@ -18,6 +18,14 @@
 } from './raft-types.js';
 import type { PersistedState } from '../storage/persisted-state.js';
 
+/** The parts of a replica that decide who leads and what a leader may answer. */
+export interface RaftParts {
+  readonly Election: typeof Election;
+  readonly Leadership: typeof Leadership;
+}
+
+const RAFT_PARTS: RaftParts = { Election, Leadership };
+
 export class RaftNode {
   private readonly state: RaftState;
   private readonly applied: AppliedLog;
@@ -28,11 +36,12 @@
   private readonly remoteReads = new Map<number, ReadCallback>();
   private nextReadId = 1;
 
-  constructor(options: RaftOptions, persisted: PersistedState) {
+  /** @param parts replaced in the simulator alone, to show what one safeguard in them is for */
+  constructor(options: RaftOptions, persisted: PersistedState, parts = RAFT_PARTS) {
     this.state = new RaftState(options, persisted);
     this.applied = new AppliedLog(this.state, (index) => this.reads.onApplied(index));
-    this.leadership = new Leadership(this.state, this.applied, this.reads);
-    this.election = new Election(this.state, () => this.leadership.begin());
+    this.leadership = new parts.Leadership(this.state, this.applied, this.reads);
+    this.election = new parts.Election(this.state, () => this.leadership.begin());
     this.receiver = new LogReceiver(this.state, this.applied, this.election);
   }
 
--- a/src/consensus/raft-options.ts
+++ b/src/consensus/raft-options.ts
@@ -7,24 +7,6 @@
 /** Roles of a replica. A `pre-candidate` asks whether it would be elected, in no new term. */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
-/** Safety mechanisms, all on in the product. The lab switches them off to show what each is for. */
-export interface RaftMechanisms {
-  readonly preVote: boolean;
-  readonly checkQuorum: boolean;
-  /** A majority confirms the leader before a read is served. */
-  readonly confirmReads: boolean;
-  /** A learner becomes a voter only once it has caught up. */
-  readonly catchUpBeforeVote: boolean;
-}
-
-/** Everything on. */
-export const ALL_RAFT_MECHANISMS: RaftMechanisms = {
-  preVote: true,
-  checkQuorum: true,
-  confirmReads: true,
-  catchUpBeforeVote: true,
-};
-
 export interface RaftOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -45,8 +27,6 @@
   readonly voterTarget?: number | undefined;
   /** A write or sync failed: this replica takes no further part. */
   readonly onStorageFailure: (error: Error) => void;
-  /** Lab only. */
-  readonly mechanisms?: RaftMechanisms | undefined;
 }
 
 /** How a proposal ended. */
--- a/src/consensus/raft-state.ts
+++ b/src/consensus/raft-state.ts
@@ -4,12 +4,7 @@
  */
 import { allReplicas } from './peer-progress.js';
 import { RaftLog } from './raft-log.js';
-import {
-  ALL_RAFT_MECHANISMS,
-  type RaftMechanisms,
-  type RaftOptions,
-  type RaftRole,
-} from './raft-options.js';
+import type { RaftOptions, RaftRole } from './raft-options.js';
 import type { MessageTarget, RaftMessage } from './raft-types.js';
 import type { HardState, LogEntry, PersistedState, Replica } from '../storage/persisted-state.js';
 
@@ -26,7 +21,6 @@
   heardFromLeaderAt = -Infinity;
   failed = false;
   stopped = false;
-  readonly mechanisms: RaftMechanisms;
   private readonly stepDownListeners: (() => void)[] = [];
 
   constructor(
@@ -38,7 +32,6 @@
     this.log = new RaftLog(persisted.snapshot, persisted.entries);
     this.commitIndex = persisted.snapshot?.index ?? 0;
     this.syncedIndex = this.log.lastIndex;
-    this.mechanisms = options.mechanisms ?? ALL_RAFT_MECHANISMS;
   }
 
   get self(): Replica {
--- a/src/consensus/replica-host.ts
+++ b/src/consensus/replica-host.ts
@@ -9,8 +9,8 @@
 import { encodeRecord, scanRecords } from '../storage/record-format.js';
 import type { StorageFiles } from '../storage/storage-files.js';
 import type { ReadCallback } from './pending-reads.js';
-import { RaftNode } from './raft-node.js';
-import type { ProposalCallback, RaftMechanisms, RaftStatus } from './raft-options.js';
+import { RaftNode, type RaftParts } from './raft-node.js';
+import type { ProposalCallback, RaftStatus } from './raft-options.js';
 import type { RaftMessage, RaftTransport, StateMachine } from './raft-types.js';
 import type { PersistedState, Replica, Snapshot } from '../storage/persisted-state.js';
 import { type BootstrapDecision, ReplicaBootstrap } from './replica-bootstrap.js';
@@ -36,8 +36,8 @@
   readonly drawIdentity: () => string;
   /** Called when the replica starts to take part, and when it can't any more. */
   readonly onPhase?: (phase: ReplicaPhase, problem: string | undefined) => void;
-  /** Lab only. */
-  readonly mechanisms?: RaftMechanisms | undefined;
+  /** Parts of the node in place of the usual ones; see {@link RaftNode}. */
+  readonly parts?: RaftParts | undefined;
 }
 
 /** How far the replica has come. */
@@ -277,9 +277,9 @@
         snapshotInterval: this.options.snapshotInterval,
         voterTarget: this.options.voterTarget,
         onStorageFailure: (error) => this.fail(error),
-        mechanisms: this.options.mechanisms,
       },
       persisted,
+      this.options.parts,
     );
     this.enter('running', undefined);
     this.node.start();
--- a/test/support/raft-cluster.ts
+++ b/test/support/raft-cluster.ts
@@ -2,13 +2,14 @@
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { RaftNode } from '../../src/consensus/raft-node.js';
+import type { ProposalOutcome } from '../../src/consensus/raft-options.js';
+import type { MessageTarget, RaftMessage } from '../../src/consensus/raft-types.js';
+import type { RaftStorage, Replica, ReplicaSet } from '../../src/storage/persisted-state.js';
 import {
   ALL_RAFT_MECHANISMS,
-  type ProposalOutcome,
+  raftPartsWith,
   type RaftMechanisms,
-} from '../../src/consensus/raft-options.js';
-import type { MessageTarget, RaftMessage } from '../../src/consensus/raft-types.js';
-import type { RaftStorage, Replica, ReplicaSet } from '../../src/storage/persisted-state.js';
+} from '../../lab/simulator/replication/raft-mechanisms.js';
 
 export const ELECTION_TIMEOUT_MS = 100;
 const LATENCY_MS = 1;
@@ -111,13 +112,13 @@
         onStorageFailure: (error) => {
           throw error;
         },
-        mechanisms: { ...ALL_RAFT_MECHANISMS, ...this.mechanisms },
       },
       {
         hardState: { term: 0, votedFor: '' },
         snapshot: replicas.voters.length === 0 ? undefined : { index: 0, term: 0, replicas, data },
         entries: [],
       },
+      raftPartsWith({ ...ALL_RAFT_MECHANISMS, ...this.mechanisms }),
     );
     this.nodes.set(name, node);
     node.start();
