--- a/lab/capacity/control-recovery.ts
+++ b/lab/capacity/control-recovery.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseResource, type Resource } from '../../src/policy/resource-schema.js';
-import type { StatusReport } from '../../src/control/status-report.js';
+import type { StatusReport } from '../../src/sync/status-report.js';
 import { Fleet, type FleetControl } from '../fleet/fleet.js';
 import { twoYearDeployment } from './two-year-deployment.js';
 
--- a/lab/simulator/replication/replication-checker.ts
+++ b/lab/simulator/replication/replication-checker.ts
@@ -3,13 +3,12 @@
  * every answer must fit it, in real time, and no replica may ever differ from it.
  */
 import type { RaftMessage } from '../../../src/consensus/raft-types.js';
-import {
-  resourceIdOf,
-  resourceKey,
-  type ResourceCommand,
-  type ResourceResult,
-  type ResourceStore,
+import type {
+  ResourceCommand,
+  ResourceResult,
+  ResourceStore,
 } from '../../../src/control/resource-store.js';
+import { resourceIdOf, resourceKey } from '../../../src/policy/stored-resource.js';
 
 /** What a client saw of one accepted change. */
 interface AcceptedChange {
--- a/src/cli/read-commands.ts
+++ b/src/cli/read-commands.ts
@@ -3,7 +3,7 @@
 import { stringify } from 'yaml';
 import { UsageError } from '../common/errors.js';
 import type { StoredResource } from '../policy/stored-resource.js';
-import type { WatchEvent } from '../control/watch-streams.js';
+import type { WatchEvent } from '../sync/watch-event.js';
 import { RESOURCE_KINDS } from '../policy/resource-schema.js';
 import { parseResourceId } from './apply-command.js';
 import { createClient, readOutput, type OperatorOptions } from './command-options.js';
--- a/src/client/resource-client.ts
+++ b/src/client/resource-client.ts
@@ -2,8 +2,8 @@
 import { request, type Dispatcher } from 'undici';
 import { RequestError, type RequestErrorProps } from '../common/errors.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
-import type { StatusReport } from '../control/status-report.js';
-import type { WatchEvent } from '../control/watch-streams.js';
+import type { StatusReport } from '../sync/status-report.js';
+import type { WatchEvent } from '../sync/watch-event.js';
 import type { Resource } from '../policy/resource-schema.js';
 
 /** Where control is and who asks. */
--- a/src/control/leadership-log.ts
+++ b/src/control/leadership-log.ts
@@ -1,6 +1,6 @@
 /** What a replica logs of its role and its leader: one line for each change. */
 import type { Logger } from '../common/logger.js';
-import type { LogStatus } from './command-log.js';
+import type { LogStatus } from '../sync/status-report.js';
 
 export class LeadershipLog {
   private told = '';
--- a/src/control/quota-keeper.ts
+++ b/src/control/quota-keeper.ts
@@ -5,7 +5,7 @@
 import { handedOutInWindow, type QuotaRule } from '../quota/quota-rule.js';
 import { QuotaLedger } from '../quota/quota-ledger.js';
 import type { QuotaGrants, QuotaReport } from '../quota/quota-messages.js';
-import type { LogStatus } from './command-log.js';
+import type { LogStatus } from '../sync/status-report.js';
 import type { ResourceStore } from './resource-store.js';
 import { GroupTable } from '../policy/group-table.js';
 
--- a/src/control/replicated-command-log.ts
+++ b/src/control/replicated-command-log.ts
@@ -4,7 +4,8 @@
 import type { ProposalOutcome, RaftStatus } from '../consensus/raft-options.js';
 import { allReplicas } from '../consensus/peer-progress.js';
 import type { ReplicaHost } from '../consensus/replica-host.js';
-import type { CommandLog, LogRefusal, LogStatus, ProposeResult } from './command-log.js';
+import type { LogStatus } from '../sync/status-report.js';
+import type { CommandLog, LogRefusal, ProposeResult } from './command-log.js';
 import type {
   Command,
   DeclareCommand,
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -25,7 +25,7 @@
   ResourceStore,
 } from './resource-store.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
-import type { StatusReport } from './status-report.js';
+import type { StatusReport } from '../sync/status-report.js';
 import type { WatchStreams } from './watch-streams.js';
 
 /** What the API is made of. */
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -3,7 +3,14 @@
  * changes. A deterministic state machine: the same commands in the same order give the same state
  * and the same results on every replica.
  */
-import type { ResourceId, StoredResource, ResourceChange } from '../policy/stored-resource.js';
+import {
+  resourceIdOf,
+  resourceKey,
+  sortedByKey,
+  type ResourceChange,
+  type ResourceId,
+  type StoredResource,
+} from '../policy/stored-resource.js';
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { Fault } from '../common/errors.js';
 import { conflictFaults } from '../policy/policy-table.js';
@@ -96,23 +103,6 @@
 /** Changes kept for watchers that resume. */
 const MAX_HISTORY = 2_000;
 
-/** The text under which a resource is kept. */
-export function resourceKey(id: ResourceId): string {
-  return `${id.kind}/${id.name}`;
-}
-
-/** The resources of a map by {@link resourceKey}, ordered by kind and name. */
-export function sortedByKey(resources: ReadonlyMap<string, StoredResource>): StoredResource[] {
-  return [...resources.entries()]
-    .sort(([first], [second]) => (first < second ? -1 : 1))
-    .map(([, stored]) => stored);
-}
-
-/** The id of a resource. */
-export function resourceIdOf(resource: Resource): ResourceId {
-  return { kind: resource.kind, name: resource.name };
-}
-
 function fingerprintOf(command: ResourceCommand): number {
   const subject = command.type === 'put' ? command.resource : command.target;
   return rendezvousScore(command.type, JSON.stringify([subject, command.precondition]));
--- a/src/control/status-report.ts
+++ b/src/control/status-report.ts
@@ -1,41 +1,12 @@
 /**
- * What `status` shows: the accepted revision, the distributed one (held by this replica), and the
- * one in force on every member.
+ * Builds what `status` shows from what one replica knows: its log, its store and the members that send it heartbeats. Pure;
+ * owns no state. A change is in force everywhere once the accepted and the in-force revision are equal.
  */
-import type { LogStatus } from './command-log.js';
+import type { LogStatus, StatusReport } from '../sync/status-report.js';
 import type { Member } from './member-table.js';
 
-/** Members that apply one revision. */
-export interface RevisionHolders {
-  readonly revision: number;
-  readonly count: number;
-}
-
-/** A member that does not apply the newest revision. */
-export interface LaggingMember {
-  readonly id: string;
-  readonly zone: string;
-  readonly appliedRevision: number;
-}
-
-/** The answer of `GET /v1/status`. */
-export interface StatusReport {
-  readonly replicaId: string;
-  readonly replication: LogStatus;
-  /** Revision up to which changes were accepted, as far as this replica knows. */
-  readonly acceptedRevision: number;
-  /** Revision that this replica hands out. */
-  readonly distributedRevision: number;
-  /** Lowest revision that any member applies; equals the accepted one when it is in force. */
-  readonly inForceRevision: number;
-  readonly memberCount: number;
-  readonly holders: readonly RevisionHolders[];
-  /** At most {@link MAX_LAGGING_SHOWN} members that lag. */
-  readonly lagging: readonly LaggingMember[];
-}
-
-/** Most lagging members that a report names. */
-export const MAX_LAGGING_SHOWN = 50;
+/** Most lagging members that a report names, so that it stays short on a large fleet. Not measured. */
+const MAX_LAGGING_SHOWN = 50;
 
 /** Builds the report of one replica. */
 export function buildStatusReport(
--- a/src/control/watch-streams.ts
+++ b/src/control/watch-streams.ts
@@ -2,15 +2,7 @@
 import type { ServerResponse } from 'node:http';
 import type { ChangeNotifier } from './change-notifier.js';
 import type { ResourceStore } from './resource-store.js';
-import type { ResourceChange } from '../policy/stored-resource.js';
-
-/** A line of a watch. */
-export type WatchEvent =
-  | { readonly type: 'change'; readonly change: ResourceChange }
-  /** Nothing has changed; the stream is alive and stands at this revision. */
-  | { readonly type: 'bookmark'; readonly revision: number; readonly inForceRevision: number }
-  /** Changes were lost: list again, then watch from the list's revision. */
-  | { readonly type: 'relist' };
+import type { WatchEvent } from '../sync/watch-event.js';
 
 const BOOKMARK_INTERVAL_MS = 5_000;
 /** A watcher that leaves this much unread is cut off; it resumes from its last revision. */
--- a/src/follower/configuration-view.ts
+++ b/src/follower/configuration-view.ts
@@ -8,8 +8,10 @@
   type SyncRequest,
   type SyncResponse,
 } from '../sync/sync-protocol.js';
-import { resourceIdOf, resourceKey, sortedByKey } from '../control/resource-store.js';
 import {
+  resourceIdOf,
+  resourceKey,
+  sortedByKey,
   type ResourceChange,
   type ResourceId,
   type StoredResource,
--- a/src/policy/stored-resource.ts
+++ b/src/policy/stored-resource.ts
@@ -26,3 +26,20 @@
   readonly actor: string;
   readonly at: number;
 }
+
+/** The text under which a resource is kept. */
+export function resourceKey(id: ResourceId): string {
+  return `${id.kind}/${id.name}`;
+}
+
+/** The resources of a map by {@link resourceKey}, ordered by kind and name. */
+export function sortedByKey(resources: ReadonlyMap<string, StoredResource>): StoredResource[] {
+  return [...resources.entries()]
+    .sort(([first], [second]) => (first < second ? -1 : 1))
+    .map(([, stored]) => stored);
+}
+
+/** The id of a resource. */
+export function resourceIdOf(resource: Resource): ResourceId {
+  return { kind: resource.kind, name: resource.name };
+}
--- a/src/programs/control-program.ts
+++ b/src/programs/control-program.ts
@@ -20,7 +20,8 @@
 } from '../control/replication-link.js';
 import { ResourceApi } from '../control/resource-api.js';
 import { ResourceStore } from '../control/resource-store.js';
-import { buildStatusReport, type StatusReport } from '../control/status-report.js';
+import { buildStatusReport } from '../control/status-report.js';
+import type { StatusReport } from '../sync/status-report.js';
 import { SyncResponder } from '../control/sync-responder.js';
 import { StoreMachine } from '../control/store-machine.js';
 import { WatchStreams } from '../control/watch-streams.js';
--- a/test/layers.test.ts
+++ b/test/layers.test.ts
@@ -25,15 +25,18 @@
   'edge',
   'node',
   'sync',
-  'control',
   'client',
   'follower',
+  'control',
   'observe',
   'settings',
   'programs',
   'cli',
 ] as const;
 
+/** Processes that reach control through its API alone: what both sides need is in `sync` and `policy`. */
+const CLIENTS_OF_CONTROL: readonly string[] = ['client', 'follower', 'cli'];
+
 const SOURCE_FOLDER = 'src';
 const IMPORT_PATTERN = /(?:from|import\()\s*'(\.[^']+)'/g;
 
@@ -74,4 +77,15 @@
       .map(({ file, to }) => `${file} imports from ${to}`);
     expect(upward).to.deep.equal([]);
   });
+
+  it('reach control through its API alone where they are its clients, and are not reached by it', () => {
+    const isCrossing = ({ from, to }: FolderImport): boolean =>
+      (to === 'control' && CLIENTS_OF_CONTROL.includes(from)) ||
+      (from === 'control' && CLIENTS_OF_CONTROL.includes(to));
+    const crossing = files
+      .flatMap(importsOf)
+      .filter(isCrossing)
+      .map(({ file, to }) => `${file} imports from ${to}`);
+    expect(crossing).to.deep.equal([]);
+  });
 });
