--- a/lab/simulator/replication/replication-checker.ts
+++ b/lab/simulator/replication/replication-checker.ts
@@ -3,11 +3,8 @@
  * every answer must fit it, in real time, and no replica may ever differ from it.
  */
 import type { RaftMessage } from '../../../src/consensus/raft-types.js';
-import type {
-  ResourceCommand,
-  ResourceResult,
-  ResourceStore,
-} from '../../../src/control/resource-store.js';
+import type { ResourceCommand, ResourceResult } from '../../../src/control/commands.js';
+import type { ResourceStore } from '../../../src/control/resource-store.js';
 import { resourceIdOf, resourceKey } from '../../../src/policy/stored-resource.js';
 
 /** What a client saw of one accepted change. */
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -5,11 +5,8 @@
 import type { MessageTarget, RaftMessage } from '../../../src/consensus/raft-types.js';
 import type { Replica } from '../../../src/storage/persisted-state.js';
 import { MemberTable } from '../../../src/control/member-table.js';
-import {
-  type ResourceCommand,
-  type ResourceResult,
-  ResourceStore,
-} from '../../../src/control/resource-store.js';
+import type { ResourceCommand, ResourceResult } from '../../../src/control/commands.js';
+import { ResourceStore } from '../../../src/control/resource-store.js';
 import { StoreMachine } from '../../../src/control/store-machine.js';
 import {
   NO_REVISION,
--- a/lab/simulator/replication/sim-writer.ts
+++ b/lab/simulator/replication/sim-writer.ts
@@ -4,7 +4,7 @@
   ResourceCommand,
   ResourceResult,
   Precondition,
-} from '../../../src/control/resource-store.js';
+} from '../../../src/control/commands.js';
 import { parseResource } from '../../../src/policy/resource-schema.js';
 import { MachineClock } from '../machine-clock.js';
 import { exchange } from '../sim-exchange.js';
--- a/src/control/command-log.ts
+++ b/src/control/command-log.ts
@@ -1,11 +1,6 @@
 /** What the control server needs from replication: ordered commands and consistent reads. */
 import type { LogStatus } from '../sync/status-report.js';
-import type {
-  DeclareCommand,
-  DeclareResult,
-  ResourceCommand,
-  ResourceResult,
-} from './resource-store.js';
+import type { DeclareCommand, DeclareResult, ResourceCommand, ResourceResult } from './commands.js';
 
 /** Why a command or a read could not be served by this replica. */
 export type LogRefusal =
--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -9,7 +9,8 @@
 import type { Resource } from '../policy/resource-schema.js';
 import type { CommandLog, LogRefusal } from './command-log.js';
 import type { DeclarationDocument } from './declaration-codec.js';
-import type { DeclareCommand, DeclareResult, ResourceStore } from './resource-store.js';
+import type { DeclareCommand, DeclareResult } from './commands.js';
+import type { ResourceStore } from './resource-store.js';
 import { resourceIdOf, resourceKey, type ResourceId } from '../policy/stored-resource.js';
 
 /** The answer to a set. */
--- /dev/null
+++ b/src/control/remembered-results.ts
@@ -0,0 +1,53 @@
+/**
+ * Answers to recent changes of single resources, so that a change that is sent again with the same id gets the first
+ * answer and is not made twice. Owns the list that is part of the replicated state; every replica forgets in the same order.
+ */
+import { rendezvousScore } from '../common/rendezvous-hash.js';
+import type { ResourceCommand, ResourceResult } from './commands.js';
+
+/** An answer as a snapshot holds it. */
+export interface RememberedResult {
+  readonly changeId: string;
+  /** Tells a resend from another change that uses the same id. */
+  readonly fingerprint: number;
+  readonly result: ResourceResult;
+}
+
+/** Answers that are remembered. At 1,800 changes a day, more than five days' worth; not measured. */
+const MAX_REMEMBERED = 10_000;
+
+export class RememberedResults {
+  private byChangeId = new Map<string, RememberedResult>();
+
+  /** The first answer to a change that is sent again; undefined for a change id that is new. */
+  answerTo(command: ResourceCommand): ResourceResult | undefined {
+    const earlier = this.byChangeId.get(command.changeId);
+    if (earlier === undefined) return undefined;
+    if (earlier.fingerprint === fingerprintOf(command)) return earlier.result;
+    return { type: 'change-id-reused' };
+  }
+
+  /** Keeps the answer to a command, and forgets the oldest one beyond the most that are kept. */
+  record(command: ResourceCommand, result: ResourceResult): void {
+    const { changeId } = command;
+    this.byChangeId.set(changeId, { changeId, fingerprint: fingerprintOf(command), result });
+    if (this.byChangeId.size <= MAX_REMEMBERED) return;
+    const [oldest] = this.byChangeId.keys();
+    if (oldest !== undefined) this.byChangeId.delete(oldest);
+  }
+
+  /** Every answer, oldest first. */
+  list(): RememberedResult[] {
+    return [...this.byChangeId.values()];
+  }
+
+  /** Replaces the answers by those of a snapshot. */
+  restore(results: readonly RememberedResult[]): void {
+    this.byChangeId = new Map(results.map((entry) => [entry.changeId, entry]));
+  }
+}
+
+function fingerprintOf(command: ResourceCommand): number {
+  const subject = command.type === 'put' ? command.resource : command.target;
+  return rendezvousScore(command.type, JSON.stringify([subject, command.precondition]));
+}
--- a/src/control/replicated-command-log.ts
+++ b/src/control/replicated-command-log.ts
@@ -12,7 +12,7 @@
   DeclareResult,
   ResourceCommand,
   ResourceResult,
-} from './resource-store.js';
+} from './commands.js';
 
 /** Longest time that an operator waits for a quorum, in milliseconds. */
 const PROPOSE_TIMEOUT_MS = 5_000;
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -18,12 +18,8 @@
 import { readJsonBody } from '../http/api-request.js';
 import { writeJson, writeProblem, writeRedirect } from '../http/api-response.js';
 import type { CommandLog, LogRefusal } from './command-log.js';
-import type {
-  Precondition,
-  ResourceCommand,
-  ResourceResult,
-  ResourceStore,
-} from './resource-store.js';
+import type { Precondition, ResourceCommand, ResourceResult } from './commands.js';
+import type { ResourceStore } from './resource-store.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 import type { StatusReport } from '../sync/status-report.js';
 import type { WatchStreams } from './watch-streams.js';
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -1,7 +1,8 @@
 /**
  * The replicated state of control: declared resources, their versions, and the answers to recent
  * changes. A deterministic state machine: the same commands in the same order give the same state
- * and the same results on every replica.
+ * and the same results on every replica. It decides whether a change is accepted, unchanged, in
+ * conflict or invalid; it relies on the log for the order, and has no clock: times come with commands.
  */
 import {
   resourceIdOf,
@@ -11,107 +12,26 @@
   type ResourceId,
   type StoredResource,
 } from '../policy/stored-resource.js';
-import { rendezvousScore } from '../common/rendezvous-hash.js';
-import type { Fault } from '../common/errors.js';
 import { conflictFaults } from '../policy/policy-table.js';
 import type { Resource } from '../policy/resource-schema.js';
-import { DeclarationHistory, type AcceptedDeclaration } from './declaration-history.js';
-
-/** What a command expects to find: a version, nothing (`absent`), or whatever is there (`any`). */
-export type Precondition = number | 'absent' | 'any';
-
-interface CommandBase {
-  /** Chosen by the client; a resend with the same id gets the first answer. */
-  readonly changeId: string;
-  readonly actor: string;
-  /** Wall-clock milliseconds. */
-  readonly at: number;
-  readonly precondition: Precondition;
-}
-
-/** Creates or replaces a resource. */
-export interface PutCommand extends CommandBase {
-  readonly type: 'put';
-  readonly resource: Resource;
-}
-
-/** Deletes a resource. */
-export interface DeleteCommand extends CommandBase {
-  readonly type: 'delete';
-  readonly target: ResourceId;
-}
-
-/**
- * Replaces the whole declared set at once, on top of the version that it was built on. Carries only
- * what differs from that version.
- */
-export interface DeclareCommand {
-  readonly type: 'declare';
-  readonly version: number;
-  readonly baseVersion: number;
-  /** Digest of the whole set. */
-  readonly digest: string;
-  readonly changed: readonly Resource[];
-  readonly removed: readonly ResourceId[];
-  readonly actor: string;
-  /** Wall-clock milliseconds. */
-  readonly at: number;
-}
-
-/** A change of one resource. */
-export type ResourceCommand = PutCommand | DeleteCommand;
-
-export type Command = ResourceCommand | DeclareCommand;
-
-/** The answer to a declared set. */
-export type DeclareResult =
-  | { readonly type: 'declared'; readonly revision: number; readonly version: number }
-  | { readonly type: 'version-conflict'; readonly currentVersion: number };
-
-/** The answer to a command. */
-export type CommandResult = ResourceResult | DeclareResult;
-
-/** The answer to a change of one resource. */
-export type ResourceResult =
-  | { readonly type: 'accepted'; readonly revision: number; readonly created: boolean }
-  /** The resource already stands as asked; nothing was changed. */
-  | { readonly type: 'unchanged'; readonly revision: number }
-  | { readonly type: 'conflict'; readonly current: StoredResource | undefined }
-  | { readonly type: 'not-found' }
-  | { readonly type: 'invalid'; readonly faults: readonly Fault[] }
-  /** The change id was used before for another change. */
-  | { readonly type: 'change-id-reused' };
-
-interface RememberedResult {
-  readonly changeId: string;
-  /** Tells a resend from another change that uses the same id. */
-  readonly fingerprint: number;
-  readonly result: ResourceResult;
-}
-
-/** Everything that a snapshot holds. */
-export interface StoreSnapshot {
-  readonly revision: number;
-  readonly resources: readonly StoredResource[];
-  readonly remembered: readonly RememberedResult[];
-  /** Missing in snapshots of versions without declared sets. */
-  readonly declarations?: readonly AcceptedDeclaration[];
-}
-
-/** Answers that are remembered for resends. At 1,800 changes a day, more than five days' worth. */
-const MAX_REMEMBERED = 10_000;
-/** Changes kept for watchers that resume. */
-const MAX_HISTORY = 2_000;
-
-function fingerprintOf(command: ResourceCommand): number {
-  const subject = command.type === 'put' ? command.resource : command.target;
-  return rendezvousScore(command.type, JSON.stringify([subject, command.precondition]));
-}
+import { ChangeHistory } from './change-history.js';
+import type {
+  Command,
+  CommandResult,
+  DeclareCommand,
+  DeclareResult,
+  Precondition,
+  ResourceCommand,
+  ResourceResult,
+} from './commands.js';
+import { DeclarationHistory } from './declaration-history.js';
+import { RememberedResults } from './remembered-results.js';
+import type { StoreSnapshot } from './store-snapshot.js';
 
 export class ResourceStore {
   private readonly resources = new Map<string, StoredResource>();
-  private remembered = new Map<string, RememberedResult>();
-  private history: ResourceChange[] = [];
+  private readonly remembered = new RememberedResults();
+  private readonly history = new ChangeHistory();
   private currentRevision = 0;
   /** The declared sets that were accepted. */
   readonly declarations = new DeclarationHistory();
@@ -123,8 +43,7 @@
 
   /** Oldest revision from which {@link changesSince} can resume. */
   get oldestResumable(): number {
-    const first = this.history[0];
-    return first === undefined ? this.currentRevision : first.revision - 1;
+    return this.history.oldestResumable(this.currentRevision);
   }
 
   get(id: ResourceId): StoredResource | undefined {
@@ -138,8 +57,7 @@
 
   /** The changes after `revision` in order; undefined when they are no longer all kept. */
   changesSince(revision: number): ResourceChange[] | undefined {
-    if (revision < this.oldestResumable || revision > this.currentRevision) return undefined;
-    return this.history.filter((change) => change.revision > revision);
+    return this.history.since(revision, this.currentRevision);
   }
 
   /** What `command` would answer now, without changing anything. */
@@ -150,15 +68,12 @@
   /** Applies a command. The same change id gets the first answer again. */
   apply(command: Command): CommandResult {
     if (command.type === 'declare') return this.declare(command);
-    const earlier = this.remembered.get(command.changeId);
-    if (earlier !== undefined) {
-      if (earlier.fingerprint === fingerprintOf(command)) return earlier.result;
-      return { type: 'change-id-reused' };
-    }
+    const earlier = this.remembered.answerTo(command);
+    if (earlier !== undefined) return earlier;
     const revision = this.currentRevision + 1;
     const result = this.evaluate(command, revision);
     if (result.type === 'accepted') this.commit(command, revision);
-    this.remember(command, result);
+    this.remembered.record(command, result);
     return result;
   }
 
@@ -166,7 +81,7 @@
     return {
       revision: this.currentRevision,
       resources: this.list(),
-      remembered: [...this.remembered.values()],
+      remembered: this.remembered.list(),
       declarations: this.declarations.list(),
     };
   }
@@ -177,8 +92,8 @@
     for (const stored of snapshot.resources) {
       this.resources.set(resourceKey(resourceIdOf(stored.resource)), stored);
     }
-    this.remembered = new Map(snapshot.remembered.map((entry) => [entry.changeId, entry]));
-    this.history = [];
+    this.remembered.restore(snapshot.remembered);
+    this.history.clear();
     this.currentRevision = snapshot.revision;
     this.declarations.restore(snapshot.declarations ?? []);
   }
@@ -234,7 +149,7 @@
 
   private remove(id: ResourceId, revision: number, actor: string, at: number): void {
     this.resources.delete(resourceKey(id));
-    this.record({ revision, id, stored: undefined, actor, at });
+    this.history.record({ revision, id, stored: undefined, actor, at });
   }
 
   private replace(resource: Resource, revision: number, actor: string, at: number): void {
@@ -246,27 +161,7 @@
       changedAt: at,
     };
     this.resources.set(resourceKey(id), stored);
-    this.record({ revision, id, stored, actor, at });
-  }
-
-  private record(change: ResourceChange): void {
-    this.history.push(change);
-    if (this.history.length > MAX_HISTORY) this.forgetOldestRevision();
-  }
-
-  /** A revision may have many changes: either all of them are kept, or none. */
-  private forgetOldestRevision(): void {
-    const oldest = this.history[0]?.revision;
-    const kept = this.history.findIndex((change) => change.revision !== oldest);
-    if (kept > 0) this.history.splice(0, kept);
-  }
-
-  private remember(command: ResourceCommand, result: ResourceResult): void {
-    const { changeId } = command;
-    this.remembered.set(changeId, { changeId, fingerprint: fingerprintOf(command), result });
-    if (this.remembered.size <= MAX_REMEMBERED) return;
-    const [oldest] = this.remembered.keys();
-    if (oldest !== undefined) this.remembered.delete(oldest);
+    this.history.record({ revision, id, stored, actor, at });
   }
 }
 
--- a/src/control/store-machine.ts
+++ b/src/control/store-machine.ts
@@ -1,7 +1,9 @@
 /** The {@link ResourceStore} as a replicated state machine. */
 import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import type { StateMachine } from '../consensus/raft-types.js';
-import type { Command, CommandResult, ResourceStore, StoreSnapshot } from './resource-store.js';
+import type { Command, CommandResult } from './commands.js';
+import type { ResourceStore } from './resource-store.js';
+import type { StoreSnapshot } from './store-snapshot.js';
 
 export class StoreMachine implements StateMachine {
   /** @param onChanged called whenever the store may have a new revision */
--- a/test/control/declared-sets.test.ts
+++ b/test/control/declared-sets.test.ts
@@ -1,6 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { ResourceStore, type DeclareCommand } from '../../src/control/resource-store.js';
+import { ResourceStore } from '../../src/control/resource-store.js';
+import type { DeclareCommand } from '../../src/control/commands.js';
 import { ConfigurationView } from '../../src/follower/configuration-view.js';
 import type { Resource } from '../../src/policy/resource-schema.js';
 
--- a/test/pins/quarantine-lines.test.ts
+++ b/test/pins/quarantine-lines.test.ts
@@ -3,7 +3,8 @@
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { CommandLog } from '../../src/control/command-log.js';
 import { QuarantineKeeper } from '../../src/control/quarantine-keeper.js';
-import { ResourceStore, type Command } from '../../src/control/resource-store.js';
+import { ResourceStore } from '../../src/control/resource-store.js';
+import type { Command } from '../../src/control/commands.js';
 import { CrashEvidence } from '../../src/quarantine/crash-evidence.js';
 import { CapturedLines } from '../support/captured-lines.js';
 
