--- a/src/control/declaration-api.ts
+++ b/src/control/declaration-api.ts
@@ -1,6 +1,8 @@
 /**
  * `/v1/declarations`: the whole declared set as one resource. `PUT` with `If-Match` of the version
  * that it builds on (RFC 9110, section 13.1.1; 0 for the first), `GET` for the newest.
+ * Owns the order of checks (token, body, version) and the log line that says how a set was answered; `declaration-service.ts`
+ * decides the answer.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Logger } from '../common/logger.js';
@@ -8,6 +10,7 @@
 import { apiProblem } from '../http/api-problem.js';
 import { readJsonBody } from '../http/api-request.js';
 import { writeJson, writeProblem, writeRedirect } from '../http/api-response.js';
+import { refusalProblem } from './change-answer.js';
 import type { LogRefusal } from './command-log.js';
 import type { DeclarationCodec, DeclarationDocument } from './declaration-codec.js';
 import type { DeclarationService, DeclareOutcome } from './declaration-service.js';
@@ -23,7 +26,7 @@
 }
 
 const VERSION_TAG = /^"?(\d{1,15})"?$/;
-/** A set of a few thousand routes. */
+/** Longest body, in bytes: a set of a few thousand routes. Not measured. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 const UNKNOWN_HOLDER: AccessToken = { name: 'operator', role: 'write', tokenHash: '' };
 
@@ -141,11 +144,7 @@
   }
 }
 
+/** A set may have been proposed before replication refused. */
 function writeUnsure(response: ServerResponse, refusal: LogRefusal): void {
-  const isStorage = refusal.type === 'storage-failed';
-  const detail = isStorage
-    ? 'The disk of this replica failed; it accepts nothing.'
-    : 'No quorum of control replicas can be reached now.';
-  const type = isStorage ? 'storage-failed' : 'no-quorum';
-  writeProblem(response, apiProblem(type, detail, { verdict: 'may-have-run' }));
+  writeProblem(response, refusalProblem(refusal, 'may-have-run'));
 }
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -1,26 +1,27 @@
 /**
  * The resource API for operators: list, get, put, delete, dry run, watch, status. Conditional
- * requests follow RFC 9110, section 13; a change id travels as `Idempotency-Key`.
+ * requests follow RFC 9110, section 13; a change id travels as `Idempotency-Key`. Owns the order of checks before a change
+ * is proposed (token, body, schema, headers); whether it is accepted is decided by `resource-store.ts`, once it is committed.
  */
-import { randomUUID } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Logger } from '../common/logger.js';
 import {
   DECLARED_KINDS,
   DELETABLE_KINDS,
-  RESOURCE_KINDS,
   resourceFaults,
   parseResource,
 } from '../policy/resource-schema.js';
 import type { ResourceKind } from '../policy/resource-schema.js';
 import type { AccessRole, AccessToken, AccessTokens } from './access-tokens.js';
-import { apiProblem, type ApiProblem } from '../http/api-problem.js';
+import { apiProblem } from '../http/api-problem.js';
 import { readJsonBody } from '../http/api-request.js';
-import { writeJson, writeProblem, writeRedirect } from '../http/api-response.js';
-import type { CommandLog, LogRefusal } from './command-log.js';
-import type { Precondition, ResourceCommand, ResourceResult } from './commands.js';
+import { writeJson, writeProblem } from '../http/api-response.js';
+import { entityTag, writeRefusal, writeResult } from './change-answer.js';
+import { readChangeHeaders, resourceIdFromPath } from './change-request.js';
+import type { CommandLog } from './command-log.js';
+import type { ResourceCommand } from './commands.js';
 import type { ResourceStore } from './resource-store.js';
-import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
+import type { ResourceId } from '../policy/stored-resource.js';
 import type { StatusReport } from '../sync/status-report.js';
 import type { WatchStreams } from './watch-streams.js';
 
@@ -36,11 +37,9 @@
   readonly logger: Logger;
 }
 
+/** Longest body of a change, in bytes: room for a policy of some thousand kinds. Not measured. */
 const MAX_BODY_BYTES = 1024 * 1024;
 const RESOURCES_PATH = '/v1/resources';
-const RESOURCE_PATH = /^\/v1\/resources\/([A-Za-z]+)\/([a-z0-9-]+)$/;
-const ENTITY_TAG = /^"(\d+)"$/;
-const MAX_CHANGE_ID_LENGTH = 128;
 
 interface ApiRequest {
   readonly message: IncomingMessage;
@@ -160,30 +159,28 @@
     request: ApiRequest,
     build: (base: Omit<ResourceCommand, 'type' | 'resource' | 'target'>) => ResourceCommand,
   ): Promise<void> {
-    const { headers } = request.message;
-    const precondition = readPrecondition(headers['if-match'], headers['if-none-match']);
-    const changeId = headers['idempotency-key'] ?? randomUUID();
-    if (precondition === undefined || typeof changeId !== 'string' || changeId === '') {
-      const detail = 'If-Match takes one entity tag or *, If-None-Match takes *.';
-      writeProblem(request.response, apiProblem('invalid', detail));
-      return;
-    }
-    if (changeId.length > MAX_CHANGE_ID_LENGTH) {
-      const detail = `Idempotency-Key takes at most ${MAX_CHANGE_ID_LENGTH} characters.`;
-      writeProblem(request.response, apiProblem('invalid', detail));
+    const headers = readChangeHeaders(request.message.headers);
+    if (headers.type === 'invalid') {
+      writeProblem(request.response, apiProblem('invalid', headers.detail));
       return;
     }
+    const { changeId, precondition } = headers;
     const actor = request.holder.name;
     const command = build({ changeId, actor, at: this.options.wallClock(), precondition });
-    if (request.url.searchParams.get('dryRun') === 'true') {
-      if (!(await this.passBarrier(request))) return;
-      this.answer(request.response, this.options.store.preview(command), true);
-      return;
-    }
+    if (request.url.searchParams.get('dryRun') === 'true') await this.preview(request, command);
+    else await this.propose(request, command);
+  }
+
+  private async preview(request: ApiRequest, command: ResourceCommand): Promise<void> {
+    if (!(await this.passBarrier(request))) return;
+    writeResult(request.response, this.options.store.preview(command), true);
+  }
+
+  private async propose(request: ApiRequest, command: ResourceCommand): Promise<void> {
+    const { actor, changeId } = command;
     const outcome = await this.options.log.propose(command);
     if (outcome.type === 'refused') {
-      const isNotRun = outcome.refusal.type === 'not-leader';
-      writeRefusal(request, outcome.refusal, isNotRun ? 'not-run' : 'may-have-run');
+      writeRefusal(request.response, outcome.refusal, pathOf(request), 'may-have-run');
       return;
     }
     this.options.logger.info('A change was answered.', {
@@ -192,24 +189,14 @@
       change: command.type,
       result: outcome.result.type,
     });
-    this.answer(request.response, outcome.result, false);
-  }
-
-  private answer(response: ServerResponse, result: ResourceResult, dryRun: boolean): void {
-    if (result.type === 'accepted' || result.type === 'unchanged') {
-      const status = result.type === 'accepted' && result.created ? 201 : 200;
-      const headers = dryRun ? {} : entityTag(result.revision);
-      writeJson(response, status, { ...result, dryRun }, headers);
-      return;
-    }
-    writeProblem(response, problemOf(result));
+    writeResult(request.response, outcome.result, false);
   }
 
   /** Waits until the state is current; answers and returns false when it cannot be made so. */
   private async passBarrier(request: ApiRequest): Promise<boolean> {
     const refusal = await this.options.log.readBarrier();
     if (refusal === undefined) return true;
-    writeRefusal(request, refusal, 'not-run');
+    writeRefusal(request.response, refusal, pathOf(request), 'not-run');
     return false;
   }
 }
@@ -218,65 +205,6 @@
   return role === 'write' || wanted === 'read';
 }
 
-function resourceIdFromPath(path: string): ResourceId | undefined {
-  const match = RESOURCE_PATH.exec(path);
-  const kind = match?.[1] as ResourceKind | undefined;
-  const name = match?.[2];
-  if (kind === undefined || name === undefined || !RESOURCE_KINDS.includes(kind)) return undefined;
-  return { kind, name };
-}
-
-function entityTag(version: number): Record<string, string> {
-  return { ETag: `"${version}"` };
-}
-
-/** Reads the conditional headers; undefined when they cannot be understood. */
-function readPrecondition(
-  ifMatch: string | undefined,
-  ifNoneMatch: string | undefined,
-): Precondition | undefined {
-  if (ifNoneMatch !== undefined) return ifNoneMatch === '*' ? 'absent' : undefined;
-  if (ifMatch === undefined || ifMatch === '*') return 'any';
-  const version = ENTITY_TAG.exec(ifMatch)?.[1];
-  return version === undefined ? undefined : Number(version);
-}
-
-type FailedResult = Exclude<ResourceResult, { type: 'accepted' } | { type: 'unchanged' }>;
-
-function problemOf(result: FailedResult): ApiProblem {
-  switch (result.type) {
-    case 'conflict': {
-      const current: StoredResource | null = result.current ?? null;
-      return apiProblem('conflict', 'The resource stands at another version.', { current });
-    }
-    case 'not-found':
-      return apiProblem('not-found', 'The resource does not exist.');
-    case 'invalid':
-      return apiProblem('invalid', 'The resource conflicts with others.', {
-        faults: result.faults,
-      });
-    case 'change-id-reused':
-      return apiProblem('change-id-reused', 'This change id was used for another change.');
-  }
-}
-
-/** Answers that replication refused: points to the leader where one is known. */
-function writeRefusal(
-  request: ApiRequest,
-  refusal: LogRefusal,
-  verdict: 'not-run' | 'may-have-run',
-): void {
-  const { response, message } = request;
-  if (refusal.type === 'not-leader' && refusal.leaderOrigin !== undefined) {
-    writeRedirect(response, refusal.leaderOrigin + (message.url ?? ''));
-    return;
-  }
-  if (refusal.type === 'storage-failed') {
-    const detail = 'The disk of this replica failed; it accepts nothing.';
-    writeProblem(response, apiProblem('storage-failed', detail, { verdict }));
-    return;
-  }
-  const known = refusal.type === 'not-leader' ? 'not-run' : verdict;
-  const detail = 'No quorum of control replicas can be reached now.';
-  writeProblem(response, apiProblem('no-quorum', detail, { verdict: known }));
+function pathOf({ message }: ApiRequest): string {
+  return message.url ?? '';
 }
