--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,7 +1,12 @@
-/** What the leader does: replicates, commits by quorum, watches its quorum, changes replica sets. */
+/**
+ * What the leader decides: what is committed, whether it still leads, which reads it may answer, and the next change of the
+ * replica set. Owns the heartbeat's timer and the time up to which a majority has confirmed this leader; it relies on
+ * `peer-replication.ts` for what the other replicas have, and on `replica-changes.ts` for the order of changes.
+ */
 import type { Timer } from '../common/clock.js';
 import type { AppliedLog } from './applied-log.js';
-import { isMajority, majorityValue, type PeerProgress } from './peer-progress.js';
+import { isMajority, majorityValue } from './peer-progress.js';
+import { PeerReplication } from './peer-replication.js';
 import { PendingReads } from './pending-reads.js';
 import type { ProposalCallback } from './raft-options.js';
 import type { RaftState } from './raft-state.js';
@@ -9,14 +14,13 @@
 import type { EntryPayload, LogEntry, Replica, ReplicaSet } from '../storage/persisted-state.js';
 import { nextReplicaChange, withLearner, withoutReplica } from './replica-changes.js';
 
+/** Heartbeats in an election timeout: four may be lost before a replica stands for election. Not measured. */
 const HEARTBEATS_PER_TIMEOUT = 5;
-const MAX_ENTRIES_PER_APPEND = 200;
-/** A voter is silent after this many election timeouts without an answer. */
+/** A voter is silent after this many election timeouts without an answer: longer than an election. Not measured. */
 const SILENT_TIMEOUTS = 3;
 
 export class Leadership {
-  private readonly progress = new Map<string, PeerProgress>();
-  private round = 0;
+  private readonly peers: PeerReplication;
   private timer: Timer | undefined;
   /** Start of the newest round that a majority has answered; undefined before the first. */
   private confirmedSince: number | undefined;
@@ -26,6 +30,7 @@
     private readonly applied: AppliedLog,
     private readonly reads: PendingReads,
   ) {
+    this.peers = new PeerReplication(state);
     state.onStepDown(() => this.end());
   }
 
@@ -39,7 +44,7 @@
     const { state } = this;
     state.role = 'leader';
     state.leader = state.self;
-    this.progress.clear();
+    this.peers.clear();
     this.append(this.firstPayload());
     this.heartbeat();
   }
@@ -49,7 +54,7 @@
     const { state } = this;
     const [successor] = state.log.replicas.voters
       .filter((voter) => voter.identity !== state.identity)
-      .sort((a, b) => this.of(b.identity).matchIndex - this.of(a.identity).matchIndex);
+      .sort((a, b) => this.matchIndexOf(b) - this.matchIndexOf(a));
     const { self: from, term } = state;
     if (successor !== undefined) state.send(successor, { type: 'elect-now', from, term });
     state.stepDown();
@@ -62,7 +67,7 @@
     if (callback !== undefined) this.applied.expect(entry.index, entry.term, callback);
     state.log.merge([entry]);
     state.writeEntries([entry], () => this.advanceCommit());
-    for (const peer of state.peers) this.sendEntries(peer);
+    this.peers.sendToAll();
   }
 
   /** Removes the replicas of a name. @returns false when that is not possible now */
@@ -88,14 +93,10 @@
   onAppendResponse(response: AppendResponse): void {
     const { state } = this;
     if (state.role !== 'leader' || response.term !== state.term) return;
-    const progress = this.of(response.from.identity);
-    progress.heardAt = state.now;
-    progress.answeredRound = Math.max(progress.answeredRound, response.round);
-    this.recordMatch(progress, response);
+    const progress = this.peers.onResponse(response);
+    if (response.success) this.advanceCommit();
     this.confirmReads();
-    const peer = state.peers.find((other) => other.identity === response.from.identity);
-    const isBehind = progress.nextIndex <= state.log.lastIndex;
-    if (peer !== undefined && isBehind) this.sendEntries(peer);
+    this.peers.sendIfBehind(response.from.identity, progress);
   }
 
   /**
@@ -109,20 +110,27 @@
       return;
     }
     this.beginRound();
-    this.reads.addUnconfirmed(this.round, state.commitIndex, callback);
-    for (const peer of state.peers) this.sendEntries(peer);
+    this.reads.addUnconfirmed(this.peers.round, state.commitIndex, callback);
+    this.peers.sendToAll();
     this.confirmReads();
   }
 
   private end(): void {
     this.timer?.cancel();
-    this.progress.clear();
+    this.peers.clear();
     this.confirmedSince = undefined;
     this.reads.failUnconfirmed();
     this.applied.failProposals({ type: 'unknown' });
   }
 
-  /** The first leader of all writes the replica set down, so that every log holds the same one. */
+  private matchIndexOf({ identity }: Replica): number {
+    return this.peers.of(identity).matchIndex;
+  }
+
+  /**
+   * The first entry of a term, which a leader commits to learn what was acknowledged before it. In an empty log it is the
+   * replica set, so that every log holds the same one; in any other, in a set of one replica too, it is a `noop`.
+   */
   private firstPayload(): EntryPayload {
     const { log } = this.state;
     if (log.lastIndex === 0) return { type: 'replicas', replicas: log.replicas };
@@ -137,7 +145,7 @@
       return;
     }
     this.beginRound();
-    for (const peer of state.peers) this.sendEntries(peer);
+    this.peers.sendToAll();
     this.confirmReads();
     this.changeReplicas();
     const intervalMs = state.options.electionTimeoutMs / HEARTBEATS_PER_TIMEOUT;
@@ -149,75 +157,17 @@
     const { state } = this;
     const since = state.now - state.options.electionTimeoutMs;
     const answered = state.log.replicas.voters.filter(
-      ({ identity }) => identity === state.identity || this.of(identity).heardAt >= since,
+      ({ identity }) => identity === state.identity || this.peers.of(identity).heardAt >= since,
     );
     return isMajority(answered.length, state.log.replicas);
   }
 
-  private of(identity: string): PeerProgress {
-    let progress = this.progress.get(identity);
-    if (progress === undefined) {
-      progress = {
-        nextIndex: this.state.log.lastIndex + 1,
-        matchIndex: 0,
-        answeredRound: 0,
-        heardAt: this.state.now,
-        snapshotSentAt: -Infinity,
-      };
-      this.progress.set(identity, progress);
-    }
-    return progress;
-  }
-
-  private sendEntries(peer: Replica): void {
-    const { state } = this;
-    const { nextIndex } = this.of(peer.identity);
-    const previousIndex = nextIndex - 1;
-    const previousTerm = state.log.termAt(previousIndex);
-    if (previousTerm === undefined) {
-      this.sendSnapshot(peer);
-      return;
-    }
-    state.send(peer, {
-      type: 'append-request',
-      from: state.self,
-      term: state.term,
-      previousIndex,
-      previousTerm,
-      entries: state.log.entriesFrom(nextIndex, MAX_ENTRIES_PER_APPEND),
-      commitIndex: state.commitIndex,
-      round: this.round,
-    });
-  }
-
-  /** A snapshot is large: it is sent again only after half an election timeout. */
-  private sendSnapshot(peer: Replica): void {
-    const { state } = this;
-    const { snapshot } = state.log;
-    const progress = this.of(peer.identity);
-    const waitMs = state.options.electionTimeoutMs / 2;
-    if (snapshot === undefined || state.now - progress.snapshotSentAt < waitMs) return;
-    progress.snapshotSentAt = state.now;
-    const { self: from, term } = state;
-    state.send(peer, { type: 'snapshot-request', from, term, snapshot, round: this.round });
-  }
-
-  private recordMatch(progress: PeerProgress, response: AppendResponse): void {
-    if (!response.success) {
-      progress.nextIndex = Math.max(1, Math.min(progress.nextIndex - 1, response.matchIndex + 1));
-      return;
-    }
-    progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex);
-    progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
-    this.advanceCommit();
-  }
-
   /** Commits what a majority has on disk. Only entries of the leader's own term are counted. */
   private advanceCommit(): void {
     const { state } = this;
     if (state.role !== 'leader') return;
     const index = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? state.syncedIndex : this.of(identity).matchIndex,
+      identity === state.identity ? state.syncedIndex : this.peers.of(identity).matchIndex,
     );
     if (index <= state.commitIndex || state.log.termAt(index) !== state.term) return;
     this.applied.commitUpTo(index);
@@ -230,12 +180,12 @@
    * unknown here had been acknowledged.
    */
   private beginRound(): void {
-    this.round += 1;
+    const round = this.peers.beginRound();
     const { state, reads } = this;
     // Before its first commit a leader does not know yet what was acknowledged.
     if (!state.hasCommittedInTerm) return;
     const { now, commitIndex } = state;
-    reads.addUnconfirmed(this.round, commitIndex, (index) => {
+    reads.addUnconfirmed(round, commitIndex, (index) => {
       if (index !== undefined) this.confirmedSince = now;
     });
   }
@@ -243,7 +193,7 @@
   private confirmReads(): void {
     const { state } = this;
     const confirmedRound = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? this.round : this.of(identity).answeredRound,
+      identity === state.identity ? this.peers.round : this.peers.of(identity).answeredRound,
     );
     this.reads.onConfirmed(confirmedRound);
   }
@@ -262,7 +212,7 @@
     const next = nextReplicaChange(state.log.replicas, {
       hasCaughtUp: (identity) => this.hasCaughtUp(identity),
       isSilent: (identity) =>
-        identity !== state.identity && state.now - this.of(identity).heardAt > silentMs,
+        identity !== state.identity && state.now - this.peers.of(identity).heardAt > silentMs,
       voterTarget: state.options.voterTarget ?? Infinity,
     });
     if (next !== undefined) this.appendReplicas(next);
@@ -270,7 +220,7 @@
 
   /** Whether the replica has everything that is committed on its disk: a voter without it could not be counted on. */
   protected hasCaughtUp(identity: string): boolean {
-    return this.of(identity).matchIndex >= this.state.commitIndex;
+    return this.peers.of(identity).matchIndex >= this.state.commitIndex;
   }
 
   private appendReplicas(replicas: ReplicaSet): void {
--- /dev/null
+++ b/src/consensus/peer-replication.ts
@@ -0,0 +1,110 @@
+/**
+ * The leader's copies: what each other replica has on its disk, and the messages that bring it up to date. Owns the progress
+ * of the peers and the number of the heartbeat round; what follows from the progress is decided in `leadership.ts`.
+ */
+import type { Replica } from '../storage/persisted-state.js';
+import type { PeerProgress } from './peer-progress.js';
+import type { RaftState } from './raft-state.js';
+import type { AppendResponse } from './raft-types.js';
+
+/** Entries in one message, so that a replica that is far behind gets several of bounded size. Not measured. */
+const MAX_ENTRIES_PER_APPEND = 200;
+
+export class PeerReplication {
+  private readonly progress = new Map<string, PeerProgress>();
+  private currentRound = 0;
+
+  constructor(private readonly state: RaftState) {}
+
+  /** Number of the heartbeat round under way. */
+  get round(): number {
+    return this.currentRound;
+  }
+
+  /** Begins the next heartbeat round. @returns its number */
+  beginRound(): number {
+    this.currentRound += 1;
+    return this.currentRound;
+  }
+
+  /** Forgets the progress of all peers. */
+  clear(): void {
+    this.progress.clear();
+  }
+
+  /** The progress of a peer; one that is new counts as having answered now. */
+  of(identity: string): PeerProgress {
+    let progress = this.progress.get(identity);
+    if (progress === undefined) {
+      progress = {
+        nextIndex: this.state.log.lastIndex + 1,
+        matchIndex: 0,
+        answeredRound: 0,
+        heardAt: this.state.now,
+        snapshotSentAt: -Infinity,
+      };
+      this.progress.set(identity, progress);
+    }
+    return progress;
+  }
+
+  /** Sends every peer the entries that it lacks, or none as a heartbeat. */
+  sendToAll(): void {
+    for (const peer of this.state.peers) this.sendEntries(peer);
+  }
+
+  /** Sends the entries that a peer still lacks, if any. */
+  sendIfBehind(identity: string, { nextIndex }: PeerProgress): void {
+    const { state } = this;
+    const peer = state.peers.find((other) => other.identity === identity);
+    const isBehind = nextIndex <= state.log.lastIndex;
+    if (peer !== undefined && isBehind) this.sendEntries(peer);
+  }
+
+  /** Records what a peer answered. @returns its progress */
+  onResponse(response: AppendResponse): PeerProgress {
+    const progress = this.of(response.from.identity);
+    progress.heardAt = this.state.now;
+    progress.answeredRound = Math.max(progress.answeredRound, response.round);
+    if (!response.success) {
+      progress.nextIndex = Math.max(1, Math.min(progress.nextIndex - 1, response.matchIndex + 1));
+      return progress;
+    }
+    progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex);
+    progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
+    return progress;
+  }
+
+  private sendEntries(peer: Replica): void {
+    const { state } = this;
+    const { nextIndex } = this.of(peer.identity);
+    const previousIndex = nextIndex - 1;
+    const previousTerm = state.log.termAt(previousIndex);
+    if (previousTerm === undefined) {
+      this.sendSnapshot(peer);
+      return;
+    }
+    state.send(peer, {
+      type: 'append-request',
+      from: state.self,
+      term: state.term,
+      previousIndex,
+      previousTerm,
+      entries: state.log.entriesFrom(nextIndex, MAX_ENTRIES_PER_APPEND),
+      commitIndex: state.commitIndex,
+      round: this.round,
+    });
+  }
+
+  /** A snapshot is large: it is sent again only after half an election timeout. */
+  private sendSnapshot(peer: Replica): void {
+    const { state, round } = this;
+    const { snapshot } = state.log;
+    const progress = this.of(peer.identity);
+    const waitMs = state.options.electionTimeoutMs / 2;
+    if (snapshot === undefined || state.now - progress.snapshotSentAt < waitMs) return;
+    progress.snapshotSentAt = state.now;
+    const { self: from, term } = state;
+    state.send(peer, { type: 'snapshot-request', from, term, snapshot, round });
+  }
+}
