--- /dev/null
+++ b/src/consensus/replica-folder.ts
@@ -0,0 +1,59 @@
+/**
+ * The two small files of a replica's data folder besides its log: the identity of the disk, and the replica set that this disk
+ * has promised to form. Each is one checksummed record, replaced atomically.
+ */
+import { decodeMessage, encodeMessage } from '../common/message-codec.js';
+import { LogStorage } from '../storage/log-storage.js';
+import type { Replica } from '../storage/persisted-state.js';
+import { encodeRecord, scanRecords } from '../storage/record-format.js';
+import type { FileCallback, StorageFiles } from '../storage/storage-files.js';
+
+const IDENTITY_FILE = 'identity';
+const PROMISE_FILE = 'promise';
+
+/** What the identity file holds. */
+export type FoundIdentity =
+  | { readonly type: 'none' }
+  | { readonly type: 'damaged' }
+  | { readonly type: 'found'; readonly identity: string };
+
+export class ReplicaFolder {
+  constructor(private readonly files: StorageFiles) {}
+
+  /** Whether the folder has an identity, and so a log. */
+  get isCreated(): boolean {
+    return this.files.read(IDENTITY_FILE) !== undefined;
+  }
+
+  readIdentity(): FoundIdentity {
+    const bytes = this.files.read(IDENTITY_FILE);
+    if (bytes === undefined) return { type: 'none' };
+    const [payload] = scanRecords(bytes).payloads;
+    if (payload === undefined) return { type: 'damaged' };
+    return { type: 'found', identity: decodeMessage<string>(payload) };
+  }
+
+  /** Writes an empty log, then the identity: an identity without a log means a lost log. */
+  create(identity: string, done: FileCallback): void {
+    LogStorage.create(this.files, (error) => {
+      if (error === undefined) this.replace(IDENTITY_FILE, identity, done);
+      else done(error);
+    });
+  }
+
+  /** The promise of this disk; undefined before the first. */
+  readPromise(): readonly Replica[] | 'damaged' | undefined {
+    const bytes = this.files.read(PROMISE_FILE);
+    if (bytes === undefined) return undefined;
+    const [payload] = scanRecords(bytes).payloads;
+    return payload === undefined ? 'damaged' : decodeMessage<readonly Replica[]>(payload);
+  }
+
+  savePromise(replicas: readonly Replica[], done: FileCallback): void {
+    this.replace(PROMISE_FILE, replicas, done);
+  }
+
+  private replace(name: string, content: unknown, done: FileCallback): void {
+    this.files.replace(name, encodeRecord(encodeMessage(content)), done);
+  }
+}
--- a/src/consensus/replica-host.ts
+++ b/src/consensus/replica-host.ts
@@ -1,12 +1,12 @@
 /**
  * One replica from its disk up: opens or creates the data folder, forms or joins the store, and
- * runs the {@link RaftNode}. Pure, like its parts.
+ * runs the {@link RaftNode}. Owns the phase of the replica, which the control program logs, and begins again from the disk
+ * after a write that failed. Relies on `replica-folder.ts` and the log storage for what the disk holds, and on
+ * `replica-bootstrap.ts` for how a store begins. Pure, like its parts.
  */
 import type { Clock } from '../common/clock.js';
-import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import type { RandomSource } from '../common/random.js';
 import { LogStorage } from '../storage/log-storage.js';
-import { encodeRecord, scanRecords } from '../storage/record-format.js';
 import type { StorageFiles } from '../storage/storage-files.js';
 import type { ReadCallback } from './pending-reads.js';
 import { RaftNode, type RaftParts } from './raft-node.js';
@@ -14,6 +14,7 @@
 import type { RaftMessage, RaftTransport, StateMachine } from './raft-types.js';
 import type { PersistedState, Replica, Snapshot } from '../storage/persisted-state.js';
 import { type BootstrapDecision, ReplicaBootstrap } from './replica-bootstrap.js';
+import { ReplicaFolder } from './replica-folder.js';
 
 export interface ReplicaHostOptions {
   readonly clock: Clock;
@@ -53,11 +54,9 @@
   | 'failed'
   | 'stopped';
 
-const IDENTITY_FILE = 'identity';
-/** The replica set that this disk has promised to form. */
-const PROMISE_FILE = 'promise';
+/** Probes in an election timeout while a replica waits for the others. Not measured. */
 const PROBES_PER_TIMEOUT = 2;
-/** A replica whose disk refused a write tries again after this long, in milliseconds. */
+/** A replica whose disk refused a write tries again after this long, in milliseconds. Not measured. */
 const REOPEN_DELAY_MS = 1_000;
 
 export class ReplicaHost {
@@ -70,7 +69,11 @@
   /** The state machine before any command; a log without a snapshot is applied on top of it. */
   private emptyState: Uint8Array | undefined;
 
-  constructor(private readonly options: ReplicaHostOptions) {}
+  private readonly folder: ReplicaFolder;
+
+  constructor(private readonly options: ReplicaHostOptions) {
+    this.folder = new ReplicaFolder(options.files);
+  }
 
   get phase(): ReplicaPhase {
     return this.currentPhase;
@@ -93,9 +96,10 @@
 
   start(): void {
     this.emptyState ??= this.options.stateMachine.takeSnapshot();
-    const bytes = this.options.files.read(IDENTITY_FILE);
-    if (bytes === undefined) this.create();
-    else this.open(bytes);
+    const found = this.folder.readIdentity();
+    if (found.type === 'none') this.create();
+    else if (found.type === 'damaged') this.enter('damaged', 'the identity file is damaged');
+    else this.open(found.identity);
   }
 
   stop(): void {
@@ -153,55 +157,41 @@
     this.node = undefined;
     this.storage?.close();
     this.storage = undefined;
-    const { files } = this.options;
-    if (files.read(IDENTITY_FILE) === undefined) {
+    if (!this.folder.isCreated) {
       this.create();
       return;
     }
-    LogStorage.rewrite(files, (error) => {
+    LogStorage.rewrite(this.options.files, (error) => {
       if (error !== undefined) this.fail(error);
       else this.start();
     });
   }
 
-  /** The log is created before the identity: an identity without a log means a lost log. */
   private create(): void {
     this.enter('creating', undefined);
-    const { files } = this.options;
-    const identity = encodeRecord(encodeMessage(this.options.drawIdentity()));
-    LogStorage.create(files, (logError) => {
-      if (logError !== undefined) {
-        this.fail(logError);
-        return;
-      }
-      files.replace(IDENTITY_FILE, identity, (error) => {
-        if (error === undefined) this.open(identity);
-        else this.fail(error);
-      });
+    const identity = this.options.drawIdentity();
+    this.folder.create(identity, (error) => {
+      if (error === undefined) this.open(identity);
+      else this.fail(error);
     });
   }
 
-  private open(identityBytes: Uint8Array): void {
+  private open(identity: string): void {
     if (this.currentPhase === 'stopped') return;
-    const [payload] = scanRecords(identityBytes).payloads;
-    if (payload === undefined) {
-      this.enter('damaged', 'the identity file is damaged');
-      return;
-    }
     const opened = LogStorage.open(this.options.files);
     if (opened.type === 'damaged') {
       this.enter('damaged', opened.reason);
       return;
     }
     const { name, origin, role } = this.options;
-    this.self = { identity: decodeMessage<string>(payload), name, origin, role };
+    this.self = { identity, name, origin, role };
     this.storage = opened.storage;
     this.begin(this.self, opened.storage, opened.persisted);
   }
 
   private begin(self: Replica, storage: LogStorage, persisted: PersistedState): void {
     const hasLog = persisted.snapshot !== undefined || persisted.entries.length > 0;
-    const promised = this.readPromise();
+    const promised = this.folder.readPromise();
     // A disk that has promised goes on forming its set, whatever the settings say since.
     if (hasLog || (this.options.join && promised === undefined)) {
       this.run(self, storage, persisted);
@@ -226,17 +216,8 @@
     this.bootstrap.start();
   }
 
-  /** The promise of this disk; undefined before the first. */
-  private readPromise(): readonly Replica[] | 'damaged' | undefined {
-    const bytes = this.options.files.read(PROMISE_FILE);
-    if (bytes === undefined) return undefined;
-    const [payload] = scanRecords(bytes).payloads;
-    return payload === undefined ? 'damaged' : decodeMessage<readonly Replica[]>(payload);
-  }
-
   private savePromise(replicas: readonly Replica[], done: () => void): void {
-    const bytes = encodeRecord(encodeMessage(replicas));
-    this.options.files.replace(PROMISE_FILE, bytes, (error) => {
+    this.folder.savePromise(replicas, (error) => {
       if (error === undefined) done();
       else this.fail(error);
     });
