--- a/src/control/member-table.ts
+++ b/src/control/member-table.ts
@@ -1,14 +1,17 @@
 /**
  * The nodes and edges that one control replica hears from. Soft state: it is learned from
  * heartbeats, which every process sends to every replica, so it needs no agreement and survives the
- * loss of any replica.
+ * loss of any replica. Owns the members' leases and decides when one is gone, superseded or leaving; `endpoint-list.ts` keeps
+ * the list that followers get.
  */
 import type { EndpointChange } from '../sync/sync-protocol.js';
 import type { Heartbeat, HeartbeatReply } from '../sync/heartbeat.js';
 import type { EndpointRecord, EndpointState } from '../call/endpoint.js';
+import { EndpointList } from './endpoint-list.js';
 
 /** A member as seen by this replica. */
 export interface Member extends Heartbeat {
+  /** Monotonic milliseconds of this replica. */
   readonly heardAt: number;
 }
 
@@ -18,24 +21,22 @@
   readonly heardAt: number;
 }
 
-/** Default of the lease. */
+/** Default of the lease, in milliseconds: five heartbeats at their default interval. Not measured. */
 export const MEMBER_LEASE_MS = 10_000;
-/** When more than this fraction falls silent together, the replica suspects its own network. */
+/** When more than this fraction falls silent together, the replica suspects its own network. Not measured. */
 const MASS_SILENCE_FRACTION = 0.3;
+/** Members below which any number that falls silent together is taken to be gone. Not measured. */
 const MIN_MEMBERS_FOR_MASS_SILENCE = 10;
-const MAX_ENDPOINT_HISTORY = 5_000;
-/** Heartbeats that were held up arrive together; those of a process that runs come this far apart, in milliseconds. */
+/** Heartbeats that were held up arrive together; those of a process that runs come this far apart, in milliseconds. Not measured. */
 const MIN_HEARTBEAT_GAP_MS = 300;
 
 export class MemberTable {
   private readonly members = new Map<string, Member>();
-  private readonly endpoints = new Map<string, EndpointRecord>();
+  private readonly endpoints = new EndpointList();
   /** Members that are gone, as they were last heard of. */
   private readonly gone = new Map<string, Member>();
   /** Earlier incarnations that were heard while or after a newer one was known, and when first. */
   private readonly returning = new Map<string, Returning>();
-  private history: EndpointChange[] = [];
-  private version = 0;
   private leavingAddresses: ReadonlySet<string> = new Set();
   private readonly startedAt: number;
 
@@ -49,7 +50,7 @@
 
   /** Version of the endpoint list; counts its changes at this replica. */
   get endpointVersion(): number {
-    return this.version;
+    return this.endpoints.version;
   }
 
   /**
@@ -116,7 +117,7 @@
     for (const member of silent) {
       this.members.delete(member.id);
       this.gone.set(member.id, member);
-      this.removeEndpoint(member.id);
+      this.endpoints.remove(member.id);
     }
   }
 
@@ -132,30 +133,25 @@
 
   /** Every endpoint. */
   endpointList(): EndpointRecord[] {
-    return [...this.endpoints.values()];
+    return this.endpoints.list();
   }
 
   /** The changes after `version`; undefined when they are no longer all kept. */
   endpointChangesSince(version: number): EndpointChange[] | undefined {
-    const oldest = this.history[0] === undefined ? this.version : this.history[0].version - 1;
-    if (version < oldest || version > this.version) return undefined;
-    return this.history.filter((change) => change.version > version);
+    return this.endpoints.changesSince(version);
   }
 
   private refreshEndpoint(id: string): void {
     const member = this.members.get(id);
     if (member?.origin === undefined || member.service === undefined) return;
-    const record: EndpointRecord = {
+    this.endpoints.set({
       id,
       incarnation: member.incarnation,
       service: member.service,
       zone: member.zone,
       origin: member.origin,
       state: this.combinedState(member, member.origin),
-    };
-    if (sameEndpoint(this.endpoints.get(id), record)) return;
-    this.endpoints.set(id, record);
-    this.record(id, record);
+    });
   }
 
   private combinedState(member: Member, origin: string): EndpointState {
@@ -164,25 +160,4 @@
     const isListed = this.leavingAddresses.has(host) || this.leavingAddresses.has(hostname);
     return isListed ? 'leaving' : 'ready';
   }
-
-  private removeEndpoint(id: string): void {
-    if (this.endpoints.delete(id)) this.record(id, undefined);
-  }
-
-  private record(id: string, record: EndpointRecord | undefined): void {
-    this.version += 1;
-    this.history.push({ version: this.version, id, record });
-    if (this.history.length > MAX_ENDPOINT_HISTORY) this.history.shift();
-  }
-}
-
-function sameEndpoint(first: EndpointRecord | undefined, second: EndpointRecord): boolean {
-  return (
-    first !== undefined &&
-    first.incarnation === second.incarnation &&
-    first.service === second.service &&
-    first.zone === second.zone &&
-    first.origin === second.origin &&
-    first.state === second.state
-  );
 }
