--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -60,7 +60,7 @@
     state.stepDown();
   }
 
-  /** Replicates an entry. `callback` hears when it is applied here. */
+  /** Replicates an entry. `callback` is called when it is applied here. */
   append(payload: EntryPayload, callback?: ProposalCallback): void {
     const { state } = this;
     const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, payload };
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -1,6 +1,6 @@
 /** Reads that wait for a majority to confirm the leader, and then for their index to be applied. */
 
-/** Hears whether the read may be served. */
+/** Called with whether the read may be served. */
 export type ReadCallback = (confirmed: boolean) => void;
 
 interface UnconfirmedRead {
--- a/src/consensus/raft-options.ts
+++ b/src/consensus/raft-options.ts
@@ -4,7 +4,10 @@
 import type { RaftTransport, StateMachine } from './raft-types.js';
 import type { RaftStorage, Replica, ReplicaSet } from '../storage/persisted-state.js';
 
-/** Roles of a replica. A `pre-candidate` asks whether it would be elected, in no new term. */
+/**
+ * Roles of a replica of the log. A `follower` here is a replica that does not lead; processes that follow the configuration
+ * are in `src/follower`. A `pre-candidate` asks whether it would be elected, in no new term.
+ */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
 export interface RaftOptions {
--- a/src/control/member-table.ts
+++ b/src/control/member-table.ts
@@ -1,5 +1,5 @@
 /**
- * The nodes and edges that one control replica hears from. Soft state: it is learned from
+ * The nodes and edges that send heartbeats to one control replica. Soft state: it is learned from
  * heartbeats, which every process sends to every replica, so it needs no agreement and survives the
  * loss of any replica. Owns the members' leases and decides when one is gone, superseded or leaving; `endpoint-list.ts` keeps
  * the list that followers get.
--- a/src/control/platform-list.ts
+++ b/src/control/platform-list.ts
@@ -25,7 +25,7 @@
   readonly url: string;
   readonly intervalMs: number;
   readonly logger: Logger;
-  /** Hears the addresses of leaving machines after each reading. */
+  /** Called with the addresses of leaving machines after each reading. */
   readonly onLeaving: (addresses: ReadonlySet<string>) => void;
 }
 
--- a/src/control/sync-responder.ts
+++ b/src/control/sync-responder.ts
@@ -1,4 +1,7 @@
-/** What a control replica tells a follower, and whether it has anything to tell. Pure. */
+/**
+ * What a control replica sends a process that follows it, and whether there is anything to send. Pure: it reads the store, the
+ * members and the evidence of crashes, and owns nothing.
+ */
 import type { Clock } from '../common/clock.js';
 import type { CrashEvidence } from '../quarantine/crash-evidence.js';
 import type { MemberTable } from './member-table.js';
--- a/src/storage/persisted-state.ts
+++ b/src/storage/persisted-state.ts
@@ -21,7 +21,7 @@
 
 /** What an entry holds. */
 export type EntryPayload =
-  /** The first entry of a leader's term. */
+  /** The first entry of a leader's term, unless the log is empty: then it is `replicas`. */
   | { readonly type: 'noop' }
   | { readonly type: 'command'; readonly data: Uint8Array }
   | { readonly type: 'replicas'; readonly replicas: ReplicaSet };
@@ -55,7 +55,7 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** Hears the end of a write: undefined once it is synced, or why it failed. */
+/** Called at the end of a write: undefined once it is synced, or why it failed. */
 export type StorageCallback = (error: Error | undefined) => void;
 
 /**
--- a/src/storage/storage-files.ts
+++ b/src/storage/storage-files.ts
@@ -3,7 +3,7 @@
  * simulator uses files that lose what was not synced when their machine crashes.
  */
 
-/** Hears the end of an operation: undefined when it was done, or why it failed. */
+/** Called at the end of an operation: undefined when it was done, or why it failed. */
 export type FileCallback = (error: Error | undefined) => void;
 
 /** A file that only grows. */
--- a/src/sync/heartbeat.ts
+++ b/src/sync/heartbeat.ts
@@ -1,4 +1,7 @@
-/** What a follower and a control replica tell each other in a heartbeat. */
+/**
+ * Heartbeats: what a process that follows control reports of itself to each replica, and the answer. A follower here is such a
+ * process, never the Raft role. Types alone; they are the wire form.
+ */
 import type { CrashNews } from '../quarantine/crash-report.js';
 import type { QuotaGrants, QuotaReport } from '../quota/quota-messages.js';
 import type { EndpointState } from '../call/endpoint.js';
@@ -31,7 +34,7 @@
   | {
       readonly type: 'ok';
       readonly revision: number;
-      /** Whether the replica has a leader, so that it hears of every change. */
+      /** Whether the replica has a leader, so that it receives every change. */
       readonly isCurrent: boolean;
       /** Origins of all control replicas, as far as the replica knows them. */
       readonly controlOrigins?: readonly string[];
--- a/src/sync/sync-codec.ts
+++ b/src/sync/sync-codec.ts
@@ -7,10 +7,10 @@
 import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import type { SyncResponse } from './sync-protocol.js';
 
-/** What an answer tells of the configuration. */
+/** What an answer brings of the configuration. */
 export type ConfigurationNews = Pick<SyncResponse, 'revision' | 'resources' | 'changes'>;
 
-/** What an answer tells of the endpoints. */
+/** What an answer brings of the endpoints. */
 export type EndpointNews = Omit<SyncResponse, keyof ConfigurationNews>;
 
 /** A {@link ConfigurationNews} as bytes. */
--- a/src/sync/sync-protocol.ts
+++ b/src/sync/sync-protocol.ts
@@ -1,5 +1,5 @@
 /**
- * The internal protocol between followers (nodes and edges) and control replicas: msgpack bodies
+ * The internal protocol between followers (nodes, edges and sidecars, not the Raft role) and control replicas: msgpack bodies
  * over HTTP POST, with the deployment's link token. `sync` is a long poll that answers when there is
  * something new, so its cost follows changes and not the size of the fleet.
  */
@@ -10,7 +10,7 @@
 export const HEARTBEAT_PATH = '/internal/heartbeat';
 export const SYNC_PATH = '/internal/sync';
 
-/** Longest time a replica holds a sync request, in milliseconds. */
+/** Longest time a replica holds a sync request, in milliseconds. Not measured. */
 export const SYNC_HOLD_MS = 10_000;
 
 /** The revision of a process that has just started and has none. */
