--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -5,7 +5,7 @@
 import { hash } from 'node:crypto';
 import { isDeepStrictEqual } from 'node:util';
 import type { Fault } from '../common/errors.js';
-import { declarationFaults, SET_KINDS, type DeclaredResource } from '../policy/route-schema.js';
+import { declarationFaults, SET_KINDS, type SetResource } from '../policy/route-schema.js';
 import type { Resource } from '../policy/resource-schema.js';
 import type { CommandLog, LogRefusal } from './command-log.js';
 import type { DeclarationDocument } from './declaration-codec.js';
@@ -56,7 +56,7 @@
     const refusal = await log.readBarrier();
     if (refusal !== undefined) return { type: 'unknown', refusal };
     const { version } = document;
-    const resources = document.resources as readonly DeclaredResource[];
+    const resources = document.resources as readonly SetResource[];
     const digest = digestOf(resources);
     const judgement = store.declarations.judge(version, baseVersion, digest);
     if (judgement.type === 'conflict') {
@@ -100,7 +100,7 @@
   }
 
   private differenceFrom(
-    resources: readonly DeclaredResource[],
+    resources: readonly SetResource[],
   ): Pick<DeclareCommand, 'changed' | 'removed'> {
     const wanted = new Map<string, Resource>();
     for (const resource of resources as readonly Resource[]) {
@@ -124,7 +124,7 @@
 }
 
 /** A digest of a set's content that does not depend on the order of resources or keys. */
-function digestOf(resources: readonly DeclaredResource[]): string {
+function digestOf(resources: readonly SetResource[]): string {
   const texts = resources.map((resource) => canonicalText(resource)).sort();
   return hash('sha256', texts.join('\n'), 'base64');
 }
--- a/src/policy/route-schema.ts
+++ b/src/policy/route-schema.ts
@@ -101,15 +101,10 @@
 export type RouteResource = z.infer<typeof routeResourceSchema>;
 export type RouteSpec = RouteResource['spec'];
 export type IngressResource = z.infer<typeof ingressResourceSchema>;
-export type DeclaredResource = z.infer<typeof declaredResourceSchema>;
+export type SetResource = z.infer<typeof declaredResourceSchema>;
 
 /** The kinds that a declared set consists of. */
-export const SET_KINDS: readonly DeclaredResource['kind'][] = [
-  'Route',
-  'Service',
-  'Ingress',
-  'Group',
-];
+export const SET_KINDS: readonly SetResource['kind'][] = ['Route', 'Service', 'Ingress', 'Group'];
 
 /** The services that a route names. */
 export function servicesOf(spec: RouteSpec): string[] {
@@ -124,11 +119,11 @@
       message,
     })),
   );
-  return faults.length > 0 ? faults : crossFaults(resources as readonly DeclaredResource[]);
+  return faults.length > 0 ? faults : crossFaults(resources as readonly SetResource[]);
 }
 
 /** Names that stand twice, places that two routes claim, services that no resource declares. */
-function crossFaults(resources: readonly DeclaredResource[]): Fault[] {
+function crossFaults(resources: readonly SetResource[]): Fault[] {
   const faults: Fault[] = [];
   const taken = new Set<string>();
   const claim = (key: string, index: number, message: string): void => {
