--- a/src/cli/apply-command.ts
+++ b/src/cli/apply-command.ts
@@ -1,7 +1,8 @@
 /** `apply` and `delete`: changes with one answer for each resource. */
 import { randomUUID } from 'node:crypto';
 import { UsageError } from '../common/errors.js';
-import type { ApiAnswer, ResourceClient } from '../client/resource-client.js';
+import type { ApiAnswer } from '../client/replica-requests.js';
+import type { ResourceClient } from '../client/resource-client.js';
 import { DECLARED_KINDS, type Resource, type ResourceKind } from '../policy/resource-schema.js';
 import type { ResourceId } from '../policy/stored-resource.js';
 import { createClient, readOutput } from './command-options.js';
