--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -177,18 +177,18 @@
   }
 
   private async propose(request: ApiRequest, command: ResourceCommand): Promise<void> {
-    const { actor, changeId } = command;
-    const outcome = await this.options.log.propose(command);
+    const { logger, log } = this.options;
+    const { actor, changeId, type: change } = command;
+    const outcome = await log.propose(command);
     if (outcome.type === 'refused') {
-      writeRefusal(request.response, outcome.refusal, pathOf(request), 'may-have-run');
+      const { refusal } = outcome;
+      const { type: cause } = refusal;
+      logger.info('A change was answered.', { actor, changeId, change, result: 'refused', cause });
+      writeRefusal(request.response, refusal, pathOf(request), 'may-have-run');
       return;
     }
-    this.options.logger.info('A change was answered.', {
-      actor,
-      changeId,
-      change: command.type,
-      result: outcome.result.type,
-    });
+    const result = outcome.result.type;
+    logger.info('A change was answered.', { actor, changeId, change, result });
     writeResult(request.response, outcome.result, false);
   }
 
