--- a/src/consensus/raft-state.ts
+++ b/src/consensus/raft-state.ts
@@ -1,15 +1,11 @@
 /**
  * The state that the parts of a replica share, with the steps that several of them take: writing to
- * disk, adopting a term, stepping down.
+ * disk, adopting a term, stepping down. Owns role, term, vote, leader and commit index; term and vote are written before they are
+ * acted on.
  */
 import { allReplicas } from './peer-progress.js';
 import { RaftLog } from './raft-log.js';
-import {
-  ALL_RAFT_MECHANISMS,
-  type RaftMechanisms,
-  type RaftOptions,
-  type RaftRole,
-} from './raft-options.js';
+import type { RaftOptions, RaftRole } from './raft-options.js';
 import type { MessageTarget, RaftMessage } from './raft-types.js';
 import type { HardState, LogEntry, PersistedState, Replica } from '../storage/persisted-state.js';
 
@@ -26,7 +22,6 @@
   heardFromLeaderAt = -Infinity;
   failed = false;
   stopped = false;
-  readonly mechanisms: RaftMechanisms;
   private readonly stepDownListeners: (() => void)[] = [];
 
   constructor(
@@ -38,7 +33,6 @@
     this.log = new RaftLog(persisted.snapshot, persisted.entries);
     this.commitIndex = persisted.snapshot?.index ?? 0;
     this.syncedIndex = this.log.lastIndex;
-    this.mechanisms = options.mechanisms ?? ALL_RAFT_MECHANISMS;
   }
 
   get self(): Replica {
--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -1,22 +1,18 @@
 /**
  * Takes whole declared sets, each on top of the version that it was built on, and reads the newest
- * back. A set takes effect at one revision or not at all.
+ * back. A set takes effect at one revision or not at all. Decides that a set is invalid, or in conflict with what this leader knows,
+ * before it is proposed; the store decides again once it is committed. Relies on the log for order and for the barrier.
  */
 import { hash } from 'node:crypto';
 import { isDeepStrictEqual } from 'node:util';
 import type { Fault } from '../common/errors.js';
-import { declarationFaults, SET_KINDS, type DeclaredResource } from '../policy/route-schema.js';
+import { declarationFaults, SET_KINDS, type SetResource } from '../policy/route-schema.js';
 import type { Resource } from '../policy/resource-schema.js';
 import type { CommandLog, LogRefusal } from './command-log.js';
 import type { DeclarationDocument } from './declaration-codec.js';
-import {
-  resourceIdOf,
-  resourceKey,
-  type DeclareCommand,
-  type DeclareResult,
-  type ResourceStore,
-} from './resource-store.js';
-import type { ResourceId } from '../policy/stored-resource.js';
+import type { DeclareCommand, DeclareResult } from './commands.js';
+import type { ResourceStore } from './resource-store.js';
+import { resourceIdOf, resourceKey, type ResourceId } from '../policy/stored-resource.js';
 
 /** The answer to a set. */
 export type DeclareOutcome =
@@ -61,7 +57,7 @@
     const refusal = await log.readBarrier();
     if (refusal !== undefined) return { type: 'unknown', refusal };
     const { version } = document;
-    const resources = document.resources as readonly DeclaredResource[];
+    const resources = document.resources as readonly SetResource[];
     const digest = digestOf(resources);
     const judgement = store.declarations.judge(version, baseVersion, digest);
     if (judgement.type === 'conflict') {
@@ -105,7 +101,7 @@
   }
 
   private differenceFrom(
-    resources: readonly DeclaredResource[],
+    resources: readonly SetResource[],
   ): Pick<DeclareCommand, 'changed' | 'removed'> {
     const wanted = new Map<string, Resource>();
     for (const resource of resources as readonly Resource[]) {
@@ -129,7 +125,7 @@
 }
 
 /** A digest of a set's content that does not depend on the order of resources or keys. */
-function digestOf(resources: readonly DeclaredResource[]): string {
+function digestOf(resources: readonly SetResource[]): string {
   const texts = resources.map((resource) => canonicalText(resource)).sort();
   return hash('sha256', texts.join('\n'), 'base64');
 }
--- a/src/policy/route-schema.ts
+++ b/src/policy/route-schema.ts
@@ -9,6 +9,7 @@
 import { faultsOf } from '../common/validate.js';
 import { declaredNameSchema, groupResourceSchema, sharedKeyFaults } from './group-schema.js';
 
+// Bounds against mistakes: milliseconds, characters (of a host, RFC 1035), and targets of one request. Not measured.
 const MAX_TIME_MS = 3_600_000;
 const MAX_HOST_LENGTH = 253;
 const MAX_PREFIX_LENGTH = 4_096;
@@ -101,15 +102,10 @@
 export type RouteResource = z.infer<typeof routeResourceSchema>;
 export type RouteSpec = RouteResource['spec'];
 export type IngressResource = z.infer<typeof ingressResourceSchema>;
-export type DeclaredResource = z.infer<typeof declaredResourceSchema>;
+export type SetResource = z.infer<typeof declaredResourceSchema>;
 
 /** The kinds that a declared set consists of. */
-export const SET_KINDS: readonly DeclaredResource['kind'][] = [
-  'Route',
-  'Service',
-  'Ingress',
-  'Group',
-];
+export const SET_KINDS: readonly SetResource['kind'][] = ['Route', 'Service', 'Ingress', 'Group'];
 
 /** The services that a route names. */
 export function servicesOf(spec: RouteSpec): string[] {
@@ -124,11 +120,11 @@
       message,
     })),
   );
-  return faults.length > 0 ? faults : crossFaults(resources as readonly DeclaredResource[]);
+  return faults.length > 0 ? faults : crossFaults(resources as readonly SetResource[]);
 }
 
 /** Names that stand twice, places that two routes claim, services that no resource declares. */
-function crossFaults(resources: readonly DeclaredResource[]): Fault[] {
+function crossFaults(resources: readonly SetResource[]): Fault[] {
   const faults: Fault[] = [];
   const taken = new Set<string>();
   const claim = (key: string, index: number, message: string): void => {
--- a/src/policy/stored-resource.ts
+++ b/src/policy/stored-resource.ts
@@ -1,4 +1,7 @@
-/** A resource as control keeps it, and one accepted change of it. */
+/**
+ * A resource as control keeps it, one accepted change of it, and the key under which both control and its followers keep it.
+ * Stored and sent in this form.
+ */
 import type { Resource, ResourceKind } from './resource-schema.js';
 
 /** Kind and name of a resource. */
@@ -26,3 +29,20 @@
   readonly actor: string;
   readonly at: number;
 }
+
+/** The text under which a resource is kept. */
+export function resourceKey(id: ResourceId): string {
+  return `${id.kind}/${id.name}`;
+}
+
+/** The resources of a map by {@link resourceKey}, ordered by kind and name. */
+export function sortedByKey(resources: ReadonlyMap<string, StoredResource>): StoredResource[] {
+  return [...resources.entries()]
+    .sort(([first], [second]) => (first < second ? -1 : 1))
+    .map(([, stored]) => stored);
+}
+
+/** The id of a resource. */
+export function resourceIdOf(resource: Resource): ResourceId {
+  return { kind: resource.kind, name: resource.name };
+}
