--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -14,7 +14,7 @@
     .example('  $ shoredoor node --config node.yaml --set zone=muc-north')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { nodeSettingsSchema } = await import('../settings/schemas.js');
+      const { nodeSettingsSchema } = await import('../settings/node-settings.js');
       const { startNode } = await import('../programs/node-program.js');
       await runProgram('node', nodeSettingsSchema, options, startNode);
     });
@@ -25,7 +25,7 @@
     .example('  $ shoredoor edge --config edge.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { edgeSettingsSchema } = await import('../settings/schemas.js');
+      const { edgeSettingsSchema } = await import('../settings/edge-settings.js');
       const { startEdge } = await import('../programs/edge-program.js');
       await runProgram('edge', edgeSettingsSchema, options, startEdge);
     });
@@ -36,7 +36,7 @@
     .example('  $ shoredoor sidecar --config sidecar.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { sidecarSettingsSchema } = await import('../settings/schemas.js');
+      const { sidecarSettingsSchema } = await import('../settings/sidecar-settings.js');
       const { startSidecar } = await import('../programs/sidecar-program.js');
       await runProgram('sidecar', sidecarSettingsSchema, options, startSidecar);
     });
@@ -47,7 +47,7 @@
     .example('  $ shoredoor control --config control.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { controlSettingsSchema } = await import('../settings/schemas.js');
+      const { controlSettingsSchema } = await import('../settings/control-settings.js');
       const { startControl } = await import('../programs/control-program.js');
       await runProgram('control', controlSettingsSchema, options, startControl);
     });
--- a/src/programs/control-program.ts
+++ b/src/programs/control-program.ts
@@ -34,7 +34,7 @@
 import { createMetricsRegistry, startAdminServer } from '../observe/admin-server.js';
 import { registerControlMetrics } from '../observe/control-metrics.js';
 import type { Logger } from '../common/logger.js';
-import type { ControlSettings } from '../settings/schemas.js';
+import type { ControlSettings } from '../settings/control-settings.js';
 import { processRandom } from './process-random.js';
 import { delay, within, type Program } from './program.js';
 
--- a/src/programs/edge-program.ts
+++ b/src/programs/edge-program.ts
@@ -13,7 +13,7 @@
 import { registerCallMetrics } from '../observe/call-metrics.js';
 import type { Logger } from '../common/logger.js';
 import { ServiceDirectory } from '../routing/service-directory.js';
-import type { EdgeSettings } from '../settings/schemas.js';
+import type { EdgeSettings } from '../settings/edge-settings.js';
 import { processRandom } from './process-random.js';
 import { delay, within, type Program } from './program.js';
 
--- a/src/programs/node-program.ts
+++ b/src/programs/node-program.ts
@@ -24,7 +24,7 @@
 import { EMPTY_POLICY_TABLE, type PolicyTable } from '../policy/policy-table.js';
 import { DEFAULT_SERVICE_SPEC, type ServiceSpec } from '../policy/resource-schema.js';
 import { ServiceDirectory } from '../routing/service-directory.js';
-import type { NodeSettings } from '../settings/schemas.js';
+import type { NodeSettings } from '../settings/node-settings.js';
 import { processRandom } from './process-random.js';
 import { delay, within, type Program } from './program.js';
 
--- a/src/programs/sidecar-parts.ts
+++ b/src/programs/sidecar-parts.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
 import { ServiceDirectory } from '../routing/service-directory.js';
-import type { SidecarSettings } from '../settings/schemas.js';
+import type { SidecarSettings } from '../settings/sidecar-settings.js';
 
 /** Decides which calls enter the target. */
 export function createGateAdmission(
--- a/src/programs/sidecar-program.ts
+++ b/src/programs/sidecar-program.ts
@@ -36,7 +36,7 @@
 import { EMPTY_POLICY_TABLE, type PolicyTable } from '../policy/policy-table.js';
 import type { ServiceDirectory } from '../routing/service-directory.js';
 import { WeightedSplit } from '../routing/weighted-split.js';
-import type { SidecarSettings } from '../settings/schemas.js';
+import type { SidecarSettings } from '../settings/sidecar-settings.js';
 import { processRandom } from './process-random.js';
 import type { Program } from './program.js';
 import { createGateAdmission, createSidecarDirectory } from './sidecar-parts.js';
--- a/src/programs/sidecar-servers.ts
+++ b/src/programs/sidecar-servers.ts
@@ -29,7 +29,7 @@
 import { OriginTracker } from '../routing/origin-tracker.js';
 import type { ServiceDirectory } from '../routing/service-directory.js';
 import type { WeightedSplit } from '../routing/weighted-split.js';
-import type { SidecarSettings } from '../settings/schemas.js';
+import type { SidecarSettings } from '../settings/sidecar-settings.js';
 
 /**
  * Part of the time within which a revocation takes effect that the proof of a configuration may be old; the rest is for
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,4 +1,7 @@
-/** Reads a program's settings: a YAML file, overridden by flags, checked in full before start. */
+/**
+ * Reads a program's settings: a YAML file, overridden by flags, checked in full before start. Relies on the schemas of this
+ * folder; unknown keys are refused. docs/reference/settings.md lists the settings.
+ */
 import { readFileSync } from 'node:fs';
 import { parse, YAMLParseError } from 'yaml';
 import type { z } from 'zod';
