--- /dev/null
+++ b/src/programs/sidecar-gate.ts
@@ -0,0 +1,46 @@
+/**
+ * Builds the gate of a sidecar, which takes calls of other machines for its target. Owns what only the gate keeps: how long
+ * calls took, and which kinds of request hold its target up. Relies on the parts of the sidecar.
+ */
+import { KindImpact } from '../admission/kind-impact.js';
+import { KindLimiter } from '../admission/kind-limiter.js';
+import { CallDurations } from '../call/call-durations.js';
+import { gateTakes } from '../call/stop-policy.js';
+import { NO_CLAIMS } from '../dedup/no-claims.js';
+import { GateServer } from '../gate/gate-server.js';
+import { OriginTracker } from '../routing/origin-tracker.js';
+import type { SidecarParts } from './sidecar-parts.js';
+
+/** Takes calls of other machines for the target. */
+export function createGate(parts: SidecarParts): GateServer {
+  const { clock, admission, lease, journal, stopProgress, settings, headers } = parts;
+  const { queueLevels, downstream, retryBudget, repeatedRuns, crashGuard, instancePool } = parts;
+  const durations = new CallDurations();
+  return new GateServer({
+    services: {
+      clock,
+      admission,
+      claims: NO_CLAIMS,
+      isLeaving: (kind) => !lease.isReady || !gateTakes(stopProgress, durations, kind),
+      onMisdirected: (instance) => lease.onMisdirected(instance),
+      queueLevels,
+      downstreamLevel: () => downstream.current(),
+      kindImpact: new KindImpact(clock),
+      kindLimiter: new KindLimiter(clock),
+      retryBudget,
+      repeatedRuns,
+      crashGuard,
+    },
+    transport: {
+      clock,
+      names: headers,
+      target: () => instancePool.target(lease.current),
+      allowsUnframed: settings.unframedAnswers === 'whole',
+    },
+    stats: parts.inboundStats,
+    service: () => lease.current?.service,
+    journal,
+    origins: new OriginTracker(() => parts.directory.machines),
+    durations,
+  });
+}
--- a/src/settings/shared-settings.ts
+++ b/src/settings/shared-settings.ts
@@ -106,3 +106,6 @@
     slack: z.number().min(0).max(1_000_000),
   })
   .default(DEFAULT_QUOTA_RULE);
+
+/** What every program that follows control is told. */
+export type FollowerSettings = z.infer<z.ZodObject<typeof followerShape>>;
