--- /dev/null
+++ b/src/programs/control-parts.ts
@@ -0,0 +1,201 @@
+/**
+ * The parts of a control replica, built in one place: the store and its log, what is known of members, the keepers that a
+ * leader runs, and the APIs. Owns nothing itself; the program keeps what is built here until it ends.
+ */
+import { SystemClock, type Clock } from '../common/clock.js';
+import type { Logger } from '../common/logger.js';
+import type { ReplicaHost } from '../consensus/replica-host.js';
+import { AccessTokens } from '../control/access-tokens.js';
+import { ChangeNotifier } from '../control/change-notifier.js';
+import { ClaimViewKeeper } from '../control/claim-view-keeper.js';
+import { DeclarationApi } from '../control/declaration-api.js';
+import { PLAIN_DECLARATION_CODEC, type DeclarationCodec } from '../control/declaration-codec.js';
+import { DeclarationService } from '../control/declaration-service.js';
+import { FollowerApi } from '../control/follower-api.js';
+import { LeadershipLog } from '../control/leadership-log.js';
+import { MemberTable } from '../control/member-table.js';
+import { PlatformListReader } from '../control/platform-list.js';
+import { QuarantineKeeper } from '../control/quarantine-keeper.js';
+import { QuotaKeeper } from '../control/quota-keeper.js';
+import { ReplicatedCommandLog } from '../control/replicated-command-log.js';
+import { ReplicationReceiver } from '../control/replication-link.js';
+import { ResourceApi } from '../control/resource-api.js';
+import { ResourceStore } from '../control/resource-store.js';
+import { buildStatusReport, type StatusReport } from '../control/status-report.js';
+import { SyncResponder } from '../control/sync-responder.js';
+import { WatchStreams } from '../control/watch-streams.js';
+import { CrashEvidence } from '../quarantine/crash-evidence.js';
+import type { ControlSettings } from '../settings/control-settings.js';
+import { createReplicaHost } from './control-replica.js';
+import type { RequestHandlers } from './control-routes.js';
+
+/** What a deployment may have in its own way. */
+export interface ControlVariations {
+  /** Layout of declared sets. */
+  readonly declarationCodec: DeclarationCodec;
+}
+
+export const DEFAULT_VARIATIONS: ControlVariations = { declarationCodec: PLAIN_DECLARATION_CODEC };
+
+/** The replica: its store, the log that orders changes, and what it knows of members from their heartbeats. */
+interface StoreParts {
+  readonly settings: ControlSettings;
+  readonly logger: Logger;
+  readonly clock: Clock;
+  readonly store: ResourceStore;
+  readonly members: MemberTable;
+  /** Wakes the syncs and watches that wait for news. */
+  readonly notifier: ChangeNotifier;
+  readonly host: ReplicaHost;
+  readonly log: ReplicatedCommandLog;
+  /** Which requests crash targets, as followers tell. */
+  readonly evidence: CrashEvidence;
+}
+
+/** What looks at the store from time to time, and changes it where this replica leads. */
+interface KeeperParts {
+  readonly claimViews: ClaimViewKeeper;
+  readonly quarantines: QuarantineKeeper;
+  readonly leadership: LeadershipLog;
+  /** Undefined where settings name no list. */
+  readonly platformList: PlatformListReader | undefined;
+}
+
+/** All parts of a control replica. */
+export interface ControlParts extends StoreParts, KeeperParts {
+  readonly watches: WatchStreams;
+  readonly handlers: RequestHandlers;
+}
+
+/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+export function createControlParts(
+  settings: ControlSettings,
+  logger: Logger,
+  variations: ControlVariations,
+): ControlParts {
+  const parts = createStoreParts(settings, logger);
+  const status = statusOf(parts);
+  const watches = new WatchStreams(parts.store, parts.notifier, () => status().inForceRevision);
+  const tokens = new AccessTokens(settings.tokens);
+  return {
+    ...parts,
+    ...createKeepers(parts),
+    watches,
+    handlers: {
+      receiver: new ReplicationReceiver(parts.host, settings.linkToken),
+      followerApi: createFollowerApi(parts),
+      declarationApi: createDeclarationApi(parts, tokens, variations),
+      resourceApi: createResourceApi(parts, tokens, watches, status),
+    },
+  };
+}
+
+function createStoreParts(settings: ControlSettings, logger: Logger): StoreParts {
+  const clock = new SystemClock();
+  const store = new ResourceStore();
+  const notifier = new ChangeNotifier(clock);
+  const host = createReplicaHost(settings, clock, store, notifier, logger.part('replication'));
+  return {
+    settings,
+    logger,
+    clock,
+    store,
+    members: new MemberTable(clock.now(), settings.memberLeaseMs),
+    notifier,
+    host,
+    log: new ReplicatedCommandLog(clock, host),
+    evidence: new CrashEvidence(clock),
+  };
+}
+
+function createKeepers(parts: StoreParts): KeeperParts {
+  const { clock, store, members, log, evidence, logger } = parts;
+  return {
+    claimViews: new ClaimViewKeeper(clock, store, members, log, wallClock),
+    quarantines: new QuarantineKeeper({
+      store,
+      log,
+      evidence,
+      wallClock,
+      logger: logger.part('quarantine'),
+    }),
+    leadership: new LeadershipLog(logger.part('replication')),
+    platformList: createPlatformListReader(parts),
+  };
+}
+
+function createFollowerApi(parts: StoreParts): FollowerApi {
+  const { settings, clock, store, members, notifier, log, evidence } = parts;
+  // Followers know by it whether the list of endpoints that they hold is from this start of the replica.
+  const source = `${settings.id}@${Date.now()}`;
+  return new FollowerApi({
+    clock,
+    store,
+    members,
+    evidence,
+    quotas: new QuotaKeeper(store, settings.quota, firstGrantsAt(settings, clock.now())),
+    log,
+    notifier,
+    linkToken: settings.linkToken,
+    responder: new SyncResponder(clock, store, members, source, evidence),
+  });
+}
+
+function createDeclarationApi(
+  { settings, store, log, logger }: StoreParts,
+  tokens: AccessTokens,
+  { declarationCodec: codec }: ControlVariations,
+): DeclarationApi {
+  return new DeclarationApi({
+    service: new DeclarationService({ store, log, wallClock }),
+    codec,
+    tokens: settings.declarations === 'open' ? undefined : tokens,
+    logger: logger.part('api'),
+  });
+}
+
+function createResourceApi(
+  { store, log, logger }: StoreParts,
+  tokens: AccessTokens,
+  watches: WatchStreams,
+  status: () => StatusReport,
+): ResourceApi {
+  return new ResourceApi({
+    store,
+    log,
+    tokens,
+    watches,
+    status,
+    wallClock,
+    logger: logger.part('api'),
+  });
+}
+
+function statusOf({ settings, log, store, members }: StoreParts): () => StatusReport {
+  return () => buildStatusReport(settings.id, log.status(), store.revision, members.list());
+}
+
+/** Milliseconds since 1970. */
+function wallClock(): number {
+  return Date.now();
+}
+
+/** Since when no grant is unknown here: at the first start of a deployment none has been given. */
+function firstGrantsAt({ bootstrap }: ControlSettings, now: number): number {
+  return bootstrap ? -Infinity : now;
+}
+
+function createPlatformListReader(parts: StoreParts): PlatformListReader | undefined {
+  const { settings, clock, members, notifier, logger } = parts;
+  if (settings.platformList === undefined) return undefined;
+  return new PlatformListReader({
+    clock,
+    ...settings.platformList,
+    logger: logger.part('platform'),
+    onLeaving: (addresses) => {
+      const versionBefore = members.endpointVersion;
+      members.setLeavingAddresses(addresses);
+      if (members.endpointVersion !== versionBefore) notifier.notify();
+    },
+  });
+}
--- /dev/null
+++ b/src/programs/control-replica.ts
@@ -0,0 +1,59 @@
+/**
+ * The replicated store's own process within a control replica: which replica this is, with whom it forms the store, where
+ * its data folder and its transport are. Owns the files under `dataDir`; relies on the other replicas for a majority.
+ */
+import { randomUUID } from 'node:crypto';
+import type { Clock } from '../common/clock.js';
+import type { Logger } from '../common/logger.js';
+import { ReplicaHost, type ReplicaHostOptions } from '../consensus/replica-host.js';
+import type { ChangeNotifier } from '../control/change-notifier.js';
+import { ReplicationSender } from '../control/replication-link.js';
+import type { ResourceStore } from '../control/resource-store.js';
+import { StoreMachine } from '../control/store-machine.js';
+import { ControlClient } from '../http/control-client.js';
+import { DiskFiles } from '../storage/disk-files.js';
+import type { ControlSettings } from '../settings/control-settings.js';
+import { processRandom } from './process-random.js';
+
+/** Builds the replica. It takes no part before it is started. */
+export function createReplicaHost(
+  settings: ControlSettings,
+  clock: Clock,
+  store: ResourceStore,
+  notifier: ChangeNotifier,
+  logger: Logger,
+): ReplicaHost {
+  const { electionTimeoutMs, linkToken } = settings;
+  return new ReplicaHost({
+    clock,
+    random: processRandom(),
+    files: new DiskFiles(settings.dataDir),
+    transport: new ReplicationSender(new ControlClient(linkToken), electionTimeoutMs),
+    stateMachine: new StoreMachine(store, () => notifier.notify()),
+    ...placeOf(settings),
+    electionTimeoutMs,
+    voterTarget: settings.voters,
+    drawIdentity: () => randomUUID(),
+    onPhase: (phase, problem) => {
+      if (phase === 'damaged' || phase === 'failed') {
+        logger.error('The replica takes no part.', { phase, problem });
+      } else logger.info('The replica changed its phase.', { phase });
+    },
+  });
+}
+
+/** How a replica is named and reached, and whom it forms the store with or joins through. */
+type ReplicaPlace = Pick<ReplicaHostOptions, 'name' | 'origin' | 'role' | 'contacts' | 'join'>;
+
+function placeOf(settings: ControlSettings): ReplicaPlace {
+  const { id: name, replicas, seeds, advertise, bootstrap } = settings;
+  if (seeds !== undefined) {
+    const origin = advertise!;
+    const contacts = seeds.filter((seed) => seed !== origin);
+    const forms = bootstrap && contacts.length < seeds.length;
+    return { name, origin, role: 'voter', contacts, join: !forms };
+  }
+  const own = replicas!.find((replica) => replica.id === name)!;
+  const contacts = replicas!.filter((replica) => replica.id !== name).map(({ origin }) => origin);
+  return { name, origin: own.origin, role: own.role, contacts, join: settings.join };
+}
