--- /dev/null
+++ b/src/cli/change-report.ts
@@ -0,0 +1,48 @@
+/** What commands that change resources say of each: the result, its exit code, and a row of the table. */
+import type { ApiAnswer } from '../client/resource-client.js';
+import { EXIT_CODES, type ExitCode } from './exit-codes.js';
+import { printResult, type OutputFormat } from './output.js';
+
+/** Statuses of the resource API's answers to changes. */
+export const STATUS_OK = 200;
+export const STATUS_CREATED = 201;
+const STATUS_CONFLICT = 409;
+
+/** The answer for one resource. */
+export interface ChangeReport {
+  readonly kind: string;
+  readonly name: string;
+  readonly result: 'created' | 'changed' | 'unchanged' | 'deleted' | 'conflict' | 'refused';
+  readonly status: number;
+  readonly detail: string;
+}
+
+/** The result of a change that did not take effect. */
+export function failedResult(status: number): 'conflict' | 'refused' {
+  return status === STATUS_CONFLICT ? 'conflict' : 'refused';
+}
+
+/** The revision of a change, or what is wrong with it. */
+export function detailOf(answer: ApiAnswer): string {
+  const body = answer.body as
+    | { revision?: number; detail?: string; faults?: { path: string; message: string }[] }
+    | undefined;
+  if (body?.revision !== undefined) return `revision ${body.revision}`;
+  const faults = (body?.faults ?? []).map((fault) => `${fault.path}: ${fault.message}`);
+  return [body?.detail ?? '', ...faults].filter((text) => text !== '').join('; ');
+}
+
+/** Prints a row for each resource. */
+export function printReports(format: OutputFormat, reports: readonly ChangeReport[]): void {
+  printResult(format, reports, () => ({
+    columns: ['KIND', 'NAME', 'RESULT', 'DETAIL'],
+    rows: reports.map(({ kind, name, result, detail }) => [kind, name, result, detail]),
+  }));
+}
+
+/** The exit code of the worst result. */
+export function exitCodeOf(reports: readonly ChangeReport[]): ExitCode {
+  if (reports.some((report) => report.result === 'refused')) return EXIT_CODES.failed;
+  if (reports.some((report) => report.result === 'conflict')) return EXIT_CODES.conflict;
+  return EXIT_CODES.ok;
+}
--- a/src/cli/command-options.ts
+++ b/src/cli/command-options.ts
@@ -1,4 +1,7 @@
-/** Options that several commands share, and how they are read. */
+/**
+ * Options that several commands share, and how they are read: from flags, and from the environment where there are none.
+ * Owns nothing; relies on the client of the resource API.
+ */
 import { readFileSync } from 'node:fs';
 import { UsageError } from '../common/errors.js';
 import { ResourceClient } from '../client/resource-client.js';
@@ -11,7 +14,14 @@
   readonly output?: string;
 }
 
+/** Options of commands that read declarations. */
+export interface FileOptions extends OperatorOptions {
+  readonly file?: string;
+}
+
+/** Environment variable that stands for `--control`. */
 export const CONTROL_VARIABLE = 'SHOREDOOR_CONTROL';
+/** Environment variable that holds the access token where no file does. */
 export const TOKEN_VARIABLE = 'SHOREDOOR_TOKEN';
 
 /** A client for the replicas and the token that options or environment name. */
--- /dev/null
+++ b/src/cli/delete-command.ts
@@ -0,0 +1,41 @@
+/** `shoredoor delete`: removes one resource, at one version of it if that is asked for. */
+import { randomUUID } from 'node:crypto';
+import {
+  detailOf,
+  exitCodeOf,
+  failedResult,
+  printReports,
+  STATUS_OK,
+  type ChangeReport,
+} from './change-report.js';
+import { createClient, readOutput, type OperatorOptions } from './command-options.js';
+import type { ExitCode } from './exit-codes.js';
+import { parseResourceId } from './resource-id.js';
+
+/** Options of `delete`. */
+export interface DeleteOptions extends OperatorOptions {
+  readonly ifVersion?: number;
+  readonly changeId?: string;
+}
+
+/** `shoredoor delete`. */
+export async function deleteResource(
+  kind: string,
+  name: string,
+  options: DeleteOptions,
+): Promise<ExitCode> {
+  const id = parseResourceId(kind, name);
+  const answer = await createClient(options).delete(id, {
+    changeId: options.changeId ?? randomUUID(),
+    expect: options.ifVersion,
+  });
+  const deleted = answer.status === STATUS_OK;
+  const report: ChangeReport = {
+    ...id,
+    result: deleted ? 'deleted' : failedResult(answer.status),
+    status: answer.status,
+    detail: detailOf(answer),
+  };
+  printReports(readOutput(options), [report]);
+  return exitCodeOf([report]);
+}
--- /dev/null
+++ b/src/cli/get-command.ts
@@ -0,0 +1,46 @@
+/** `shoredoor get`: shows resources as a table, or one of them as it was declared. */
+import { stringify } from 'yaml';
+import type { StoredResource } from '../policy/stored-resource.js';
+import { RESOURCE_KINDS } from '../policy/resource-schema.js';
+import { createClient, readOutput, type OperatorOptions } from './command-options.js';
+import { EXIT_CODES, type ExitCode } from './exit-codes.js';
+import { printResult } from './output.js';
+import { parseResourceId } from './resource-id.js';
+
+/** `shoredoor get`. */
+export async function getResources(
+  kind: string | undefined,
+  name: string | undefined,
+  options: OperatorOptions,
+): Promise<ExitCode> {
+  const client = createClient(options);
+  const format = readOutput(options);
+  const list = await client.list();
+  const wantedKind =
+    kind === undefined ? undefined : parseResourceId(kind, '', RESOURCE_KINDS).kind;
+  const items = list.items.filter(
+    ({ resource }) =>
+      (wantedKind === undefined || resource.kind === wantedKind) &&
+      (name === undefined || resource.name === name),
+  );
+  const only = items[0];
+  if (name !== undefined && only === undefined) {
+    process.stderr.write(`shoredoor: there is no ${kind} '${name}'\n`);
+    return EXIT_CODES.failed;
+  }
+  if (name !== undefined && only !== undefined && format === 'table') {
+    process.stdout.write(stringify(only.resource));
+    return EXIT_CODES.ok;
+  }
+  printResult(format, { revision: list.revision, items }, () => ({
+    columns: ['KIND', 'NAME', 'VERSION', 'CHANGED BY', 'CHANGED AT'],
+    rows: items.map(resourceRow),
+  }));
+  return EXIT_CODES.ok;
+}
+
+function resourceRow(stored: StoredResource): string[] {
+  const { resource, version, changedBy, changedAt } = stored;
+  const at = new Date(changedAt).toISOString();
+  return [resource.kind, resource.name, String(version), changedBy, at];
+}
--- a/src/cli/launch.ts
+++ b/src/cli/launch.ts
@@ -27,12 +27,15 @@
   directory: string,
 ) => void;
 
+/** Argument that has the cache written. */
 const WRITE_CACHE = '--write-cache';
 
+/** The cache, where there is one: without it, or if it cannot be read, the bundle is compiled, which is only slower. */
 function readIfPresent(file: string): Buffer | undefined {
   try {
     return readFileSync(file);
   } catch {
+    // Nothing is told: a start without the cache is sound, and a build that writes none would repeat the line at each.
     return undefined;
   }
 }
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -1,8 +1,14 @@
-/** The commands for operators: apply, get, delete, diff, watch, status, validate, version. */
+/**
+ * The commands of operators: their names, options and examples. The work of each stands in a file of its own, which is
+ * loaded when the command is given: a command that asks control for one thing starts without the rest.
+ */
 import type { CAC, Command } from 'cac';
-import type { OperatorOptions } from './command-options.js';
+import type { ApplyOptions } from './apply-command.js';
+import type { FileOptions, OperatorOptions } from './command-options.js';
+import type { DeleteOptions } from './delete-command.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { VERSION } from './version.js';
+import type { WatchOptions } from './watch-command.js';
 
 const FILE_HELP = 'File or folder with declarations (YAML)';
 
@@ -18,30 +24,19 @@
   process.exitCode = await work;
 }
 
-/** Options of commands that read declarations. */
-export interface FileOptions extends OperatorOptions {
-  readonly file?: string;
-}
-
-/** Options of `apply`. */
-export interface ApplyOptions extends FileOptions {
-  readonly dryRun?: boolean;
-  readonly changePrefix?: string;
-}
-
-/** Options of `watch`. */
-export interface WatchOptions extends OperatorOptions {
-  readonly from?: number;
-}
-
-/** Options of `delete`. */
-export interface DeleteOptions extends OperatorOptions {
-  readonly ifVersion?: number;
-  readonly changeId?: string;
+/** Registers the commands, in the order of the help text. */
+export function registerOperatorCommands(cli: CAC): void {
+  registerApply(cli);
+  registerGet(cli);
+  registerDelete(cli);
+  registerDiff(cli);
+  registerWatch(cli);
+  registerStatus(cli);
+  registerValidate(cli);
+  registerVersion(cli);
 }
 
-/** Registers the commands. */
-export function registerOperatorCommands(cli: CAC): void {
+function registerApply(cli: CAC): void {
   withControl(cli.command('apply', 'Declare resources from a file or folder'))
     .option('-f, --file <path>', FILE_HELP)
     .option('--dry-run', 'Show what would change and change nothing')
@@ -51,50 +46,71 @@
       const { applyDeclarations } = await import('./apply-command.js');
       await exitWith(applyDeclarations(options));
     });
+}
+
+function registerGet(cli: CAC): void {
   withControl(cli.command('get [kind] [name]', 'Show resources'))
     .example('  $ shoredoor get Policy ratenwerk --output json')
     .action(
       async (kind: string | undefined, name: string | undefined, options: OperatorOptions) => {
-        const { getResources } = await import('./read-commands.js');
+        const { getResources } = await import('./get-command.js');
         await exitWith(getResources(kind, name, options));
       },
     );
+}
+
+function registerDelete(cli: CAC): void {
   withControl(cli.command('delete <kind> <name>', 'Delete a resource'))
     .option('--if-version <version>', 'Only when the resource stands at this version')
     .option('--change-id <id>', 'Names this change; a resend with the same id is harmless')
     .example('  $ shoredoor delete Service bundler --if-version 12')
     .action(async (kind: string, name: string, options: DeleteOptions) => {
-      const { deleteResource } = await import('./apply-command.js');
+      const { deleteResource } = await import('./delete-command.js');
       await exitWith(deleteResource(kind, name, options));
     });
+}
+
+function registerDiff(cli: CAC): void {
   withControl(cli.command('diff', 'Compare declarations with what is accepted'))
     .option('-f, --file <path>', FILE_HELP)
     .example('  $ shoredoor diff -f policies/')
     .action(async (options: FileOptions) => {
-      const { diffDeclarations } = await import('./read-commands.js');
+      const { diffDeclarations } = await import('./diff-command.js');
       await exitWith(diffDeclarations(options));
     });
+}
+
+function registerWatch(cli: CAC): void {
   withControl(cli.command('watch', 'Follow changes and the revision in force'))
     .option('--from <revision>', 'Resume after this revision')
     .example('  $ shoredoor watch --output json')
     .action(async (options: WatchOptions) => {
-      const { watchChanges } = await import('./read-commands.js');
+      const { watchChanges } = await import('./watch-command.js');
       await exitWith(watchChanges(options));
     });
+}
+
+function registerStatus(cli: CAC): void {
   withControl(cli.command('status', 'Show revisions, replication and lagging members'))
     .example('  $ shoredoor status')
     .action(async (options: OperatorOptions) => {
-      const { showStatus } = await import('./read-commands.js');
+      const { showStatus } = await import('./status-command.js');
       await exitWith(showStatus(options));
     });
+}
+
+function registerValidate(cli: CAC): void {
   cli
     .command('validate', 'Check declarations without asking control')
     .option('-f, --file <path>', FILE_HELP)
     .example('  $ shoredoor validate -f policies/')
     .action(async (options: FileOptions) => {
-      const { validateDeclarations } = await import('./read-commands.js');
+      const { validateDeclarations } = await import('./validate-command.js');
       process.exitCode = validateDeclarations(options);
     });
+}
+
+function registerVersion(cli: CAC): void {
   cli.command('version', 'Print the version').action(() => {
     process.stdout.write(`${VERSION}\n`);
     process.exitCode = EXIT_CODES.ok;
--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -1,16 +1,25 @@
-/** The commands `node`, `edge`, `sidecar` and `control`. Each loads only what its program needs. */
-import type { CAC } from 'cac';
+/** The commands `node`, `edge`, `sidecar` and `control`. Each loads only what its program needs: a start is to be short. */
+import type { CAC, Command } from 'cac';
 import type { ProgramOptions } from './run-program.js';
 
 const CONFIG_HELP = 'Settings file (YAML)';
 const SET_HELP = 'Override one setting: PATH=VALUE (repeatable)';
 
-/** Registers the commands. */
+/** Adds the options of commands that run a program. */
+function withSettings(command: Command): Command {
+  return command.option('--config <file>', CONFIG_HELP).option('--set <path=value>', SET_HELP);
+}
+
+/** Registers the commands, in the order of the help text. */
 export function registerProgramCommands(cli: CAC): void {
-  cli
-    .command('node', 'Run the node beside one target')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+  registerNode(cli);
+  registerEdge(cli);
+  registerSidecar(cli);
+  registerControl(cli);
+}
+
+function registerNode(cli: CAC): void {
+  withSettings(cli.command('node', 'Run the node beside one target'))
     .example('  $ shoredoor node --config node.yaml --set zone=muc-north')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
@@ -18,10 +27,10 @@
       const { startNode } = await import('../programs/node-program.js');
       await runProgram('node', nodeSettingsSchema, options, startNode);
     });
-  cli
-    .command('edge', 'Run an edge for callers from outside')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerEdge(cli: CAC): void {
+  withSettings(cli.command('edge', 'Run an edge for callers from outside'))
     .example('  $ shoredoor edge --config edge.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
@@ -29,10 +38,15 @@
       const { startEdge } = await import('../programs/edge-program.js');
       await runProgram('edge', edgeSettingsSchema, options, startEdge);
     });
-  cli
-    .command('sidecar', 'Run the node beside one target that is also the ingress of its machine')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerSidecar(cli: CAC): void {
+  withSettings(
+    cli.command(
+      'sidecar',
+      'Run the node beside one target that is also the ingress of its machine',
+    ),
+  )
     .example('  $ shoredoor sidecar --config sidecar.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
@@ -40,10 +54,10 @@
       const { startSidecar } = await import('../programs/sidecar-program.js');
       await runProgram('sidecar', sidecarSettingsSchema, options, startSidecar);
     });
-  cli
-    .command('control', 'Run a control replica')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerControl(cli: CAC): void {
+  withSettings(cli.command('control', 'Run a control replica'))
     .example('  $ shoredoor control --config control.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -1,4 +1,7 @@
-/** Reads declarations from a YAML file (several documents allowed) or from a folder of such files. */
+/**
+ * Reads declarations from a YAML file (several documents allowed) or from a folder of such files, and checks each alone and
+ * against the others. Owns nothing; relies on the schemas of resources.
+ */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join } from 'node:path';
 import { parseAllDocuments } from 'yaml';
@@ -11,8 +14,8 @@
   type Resource,
 } from '../policy/resource-schema.js';
 
-/** A resource and where it was declared. */
-export interface DeclaredResource {
+/** A resource as read from a file, and where it was declared. */
+export interface ReadDeclaration {
   /** File, and the number of the document in it when there are several. */
   readonly source: string;
   readonly resource: Resource;
@@ -25,6 +28,7 @@
   try {
     stats = statSync(path);
   } catch {
+    // Why it cannot be looked at is nearly always that it is not there, and that is what the operator is told.
     throw new ValidationError('declarations cannot be read', {
       props: { faults: [{ path, message: 'no such file or folder' }] },
     });
@@ -36,8 +40,8 @@
     .map((name) => join(path, name));
 }
 
-function readFile(file: string, faults: Fault[]): DeclaredResource[] {
-  const declared: DeclaredResource[] = [];
+function readFile(file: string, faults: Fault[]): ReadDeclaration[] {
+  const declared: ReadDeclaration[] = [];
   const documents = parseAllDocuments(readFileSync(file, 'utf8'));
   if (!Array.isArray(documents)) return declared;
   documents.forEach((document, index) => {
@@ -66,7 +70,7 @@
  * @returns resources in the order in which they are applied: services, then policies
  * @throws ValidationError naming every fault of every file
  */
-export function readDeclarations(path: string): DeclaredResource[] {
+export function readDeclarations(path: string): ReadDeclaration[] {
   const faults: Fault[] = [];
   const declared = filesOf(path).flatMap((file) => readFile(file, faults));
   declared.forEach((entry, index) => {
--- a/src/cli/run-program.ts
+++ b/src/cli/run-program.ts
@@ -1,4 +1,8 @@
-/** Starts a long-running program from its command and stops it in order on SIGTERM or SIGINT. */
+/**
+ * Runs a long-running program from its command: reads settings, starts it, says where it listens, and then waits for
+ * signals. SIGTERM and SIGINT stop it in order, SIGHUP has it read its settings again. Owns the process's signal handlers
+ * and exit code; relies on the program for how it starts and stops.
+ */
 import type { z } from 'zod';
 import { createLogger, type LogLevel, type Logger } from '../common/logger.js';
 import type { Program } from '../programs/program.js';
@@ -38,10 +42,20 @@
   start: (settings: Settings, logger: Logger) => Promise<Program<Settings>>,
 ): Promise<void> {
   const overrides = typeof options.set === 'string' ? [options.set] : (options.set ?? []);
-  const settings = loadSettings(schema, options.config, overrides);
+  const load = (): Settings => loadSettings(schema, options.config, overrides);
+  const settings = load();
   const logger = createLogger(name, settings.id, settings.logLevel);
   await prepareHashing();
   const program = await startOrEnd(() => start(settings, logger), logger);
+  stopOnSignal(program, logger);
+  reloadOnSignal(program, load, logger);
+  // One line among the log lines on standard output tells supervisors which ports were bound. It comes after the
+  // handlers: a supervisor that stops the program on this line would kill it otherwise.
+  process.stdout.write(`${JSON.stringify({ id: settings.id, origins: program.origins })}\n`);
+}
+
+/** A second signal changes nothing: the stop goes on in its own time. */
+function stopOnSignal(program: Pick<Program, 'stop'>, logger: Logger): void {
   let stopping = false;
   const stop = (): void => {
     if (stopping) return;
@@ -56,15 +70,20 @@
   };
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
+}
+
+/** Settings that cannot be read or are not valid change nothing: the program goes on with those that it has. */
+function reloadOnSignal<Settings>(
+  program: Program<Settings>,
+  load: () => Settings,
+  logger: Logger,
+): void {
   process.on('SIGHUP', () => {
     try {
-      program.reload?.(loadSettings(schema, options.config, overrides));
+      program.reload?.(load());
       logger.info('Settings were read again.');
     } catch (error) {
       logger.error('Settings were not adopted.', { error: String(error) });
     }
   });
-  // One line among the log lines on standard output tells supervisors which ports were bound. It comes after the
-  // handlers: a supervisor that stops the program on this line would kill it otherwise.
-  process.stdout.write(`${JSON.stringify({ id: settings.id, origins: program.origins })}\n`);
 }
--- /dev/null
+++ b/src/cli/watch-command.ts
@@ -0,0 +1,32 @@
+/** `shoredoor watch`: prints each change, and the revision in force, until it is ended or changes were lost. */
+import type { WatchEvent } from '../control/watch-streams.js';
+import { createClient, readOutput, type OperatorOptions } from './command-options.js';
+import { EXIT_CODES, type ExitCode } from './exit-codes.js';
+
+/** Options of `watch`. */
+export interface WatchOptions extends OperatorOptions {
+  readonly from?: number;
+}
+
+/** `shoredoor watch`. */
+export async function watchChanges(options: WatchOptions): Promise<ExitCode> {
+  const client = createClient(options);
+  const format = readOutput(options);
+  const from = options.from ?? (await client.list()).revision;
+  for await (const event of client.watch(from)) {
+    const text = format === 'json' ? JSON.stringify(event) : describeEvent(event);
+    process.stdout.write(`${text}\n`);
+    if (event.type === 'relist') return EXIT_CODES.failed;
+  }
+  return EXIT_CODES.ok;
+}
+
+function describeEvent(event: WatchEvent): string {
+  if (event.type === 'relist') return 'Changes were lost: get the resources, then watch again.';
+  if (event.type === 'bookmark') {
+    return `revision ${event.revision}, in force everywhere: ${event.inForceRevision}`;
+  }
+  const { revision, id, stored, actor, at } = event.change;
+  const what = stored === undefined ? 'deleted' : 'declared';
+  return `revision ${revision}: ${id.kind} '${id.name}' ${what} by ${actor} at ${new Date(at).toISOString()}`;
+}
