--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,8 @@
 #!/usr/bin/env node
-/** The `shoredoor` command line. */
+/**
+ * The `shoredoor` command line: finds the command, runs it, and turns its error into a text and an exit code. Owns the exit
+ * code of commands of operators; a program that runs on ends by itself (run-program).
+ */
 import { cac } from 'cac';
 import { RequestError, UsageError, ValidationError } from '../common/errors.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
@@ -7,6 +10,7 @@
 import { registerProgramCommands } from './program-commands.js';
 import { VERSION } from './version.js';
 
+/** Writes an error for people. @returns the exit code that it stands for */
 function reportError(error: unknown): ExitCode {
   if (error instanceof ValidationError) {
     process.stderr.write(`shoredoor: ${error.message}\n`);
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** Writes results to standard output as JSON or as a table for people. */
+/** Writes results to standard output as JSON or as a table for people. Relies on nothing; log lines are not written here. */
 
 /** The formats of `--output`. */
 export const OUTPUT_FORMATS = ['table', 'json'] as const;
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,6 +1,7 @@
 /**
  * Time as the decision modules see it. Programs inject {@link SystemClock}; the simulator injects
- * a virtual clock, so that the same modules run unchanged in both.
+ * a virtual clock, so that the same modules run unchanged in both. Owns the count of time for which the machine was
+ * suspended; relies on the monotonic clock, the time of day and the time since the machine's start.
  */
 import { uptime } from 'node:os';
 
@@ -28,6 +29,7 @@
   uptimeMs(): number;
 }
 
+/** Milliseconds in a second. */
 const MILLISECONDS = 1_000;
 
 const SYSTEM_SOURCES: ClockSources = {
@@ -36,9 +38,9 @@
   uptimeMs: () => uptime() * MILLISECONDS,
 };
 
-/** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. */
+/** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. Not measured. */
 const MIN_SUSPENSION_MS = 100;
-/** Most by which the two clocks that go on may differ over a suspension, in milliseconds. */
+/** Most by which the two clocks that go on may differ over a suspension, in milliseconds. Not measured. */
 const TOLERANCE_MS = 60;
 
 /**
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,7 +1,8 @@
 /**
  * Every error class of shoredoor, each with a stable code. Refusals on the call path are typed
  * results (see `call/refusal.ts`), not errors: building an error object there would cost the most
- * exactly when the system is overloaded.
+ * exactly when the system is overloaded. A plain `Error` is for mistakes in the code, and for the reason that a stream is
+ * destroyed with. Relies on modern-errors.
  */
 import ModernError from 'modern-errors';
 import type { Verdict } from './verdict.js';
@@ -64,6 +65,7 @@
   readonly verdict: Verdict;
 }
 
+/** What is known without an answer: nothing, so the request may have run. */
 const NO_ANSWER: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
 
 /**
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,4 +1,6 @@
-/** Structured logs (JSON lines on standard output). Each part of a program has a fixed prefix. */
+/**
+ * Structured logs (JSON lines on standard output). Each part of a program has a fixed prefix. Owns nothing; relies on bunyan.
+ */
 import bunyan from 'bunyan';
 
 /** Fields of a log record besides the message. */
--- a/src/common/message-codec.ts
+++ b/src/common/message-codec.ts
@@ -1,6 +1,10 @@
-/** The encoding of everything that the system's own processes exchange and store: msgpack. */
+/**
+ * The encoding of everything that the system's own processes exchange and store: msgpack. Owns nothing; relies on msgpackr.
+ * Messages and stored records outlive a version, so fields are added and never renamed.
+ */
 import { pack, unpack } from 'msgpackr';
 
+/** Media type of such messages over HTTP. */
 export const MSGPACK_TYPE = 'application/msgpack';
 
 /** Encodes a message or a stored record. */
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,6 +1,6 @@
 /**
  * The random source that decision modules are given. One seed gives one sequence, so a simulated
- * run can be replayed from its seed.
+ * run can be replayed from its seed. Owns the state of its generator; relies on pure-rand.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
@@ -12,6 +12,7 @@
   below(bound: number): number;
 }
 
+/** Number of 32-bit unsigned numbers. */
 const UINT32_RANGE = 0x1_0000_0000;
 
 /** A seeded random source backed by pure-rand's xoroshiro128+. */
--- a/src/common/validate.ts
+++ b/src/common/validate.ts
@@ -1,4 +1,7 @@
-/** Turns zod's issues into the faults that shoredoor reports: every fault, with its path. */
+/**
+ * Turns zod's issues into the faults that shoredoor reports: every fault, with its path. For settings, resources and
+ * scenarios. Owns nothing; relies on zod's messages, which operators read.
+ */
 import type { z } from 'zod';
 import { ValidationError, type Fault } from './errors.js';
 
--- a/src/common/verdict.ts
+++ b/src/common/verdict.ts
@@ -1,5 +1,6 @@
 /**
- * Whether a request may have run at a back end. Every error and every refusal carries one.
+ * Whether a request may have run at a back end. Every error and every refusal carries one, and a caller decides by it
+ * whether it may send the request again. Pure.
  *
  * - `not-run`: it is known that no back end saw the request. Only said when the request was never
  *   written to a connection, or the node beside the back end removed it before forwarding.
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -1,6 +1,6 @@
 /**
  * A clock whose time moves only when its owner advances it. Tests and the simulator use it, so
- * that a run depends on its seed and on nothing else.
+ * that a run depends on its seed and on nothing else. Owns the events that are due, in a heap; relies on no other clock.
  */
 import type { Clock, Timer } from './clock.js';
 
--- a/src/observe/admin-server.ts
+++ b/src/observe/admin-server.ts
@@ -1,4 +1,7 @@
-/** Serves /metrics, /healthz and /readyz of a program. */
+/**
+ * Serves /metrics, /healthz and /readyz of a program: whether it runs, whether it is to be given work, and its counters.
+ * Owns its server; relies on the program to say whether it is ready, and reads all metrics when they are scraped.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Registry, collectDefaultMetrics } from 'prom-client';
 import { ListeningServer, type ListenAddress } from '../http/listening-server.js';
@@ -19,7 +22,7 @@
 
 /**
  * Time between two looks at the delay of the event loop, in milliseconds. Each one wakes the process:
- * at prom-client's default of 10 an idle process wakes a hundred times a second for nothing else.
+ * at prom-client's default of 10 an idle process wakes a hundred times a second for nothing else. Not measured.
  */
 const LOOP_DELAY_PRECISION_MS = 1_000;
 
--- a/src/observe/admission-metrics.ts
+++ b/src/observe/admission-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a node's admission controller. */
+/** Prometheus metrics of a gate's admission controller, read when scraped. Owns nothing. */
 import { Gauge, type Registry } from 'prom-client';
 import type { AdmissionController, AdmissionStatus } from '../admission/admission-controller.js';
 
--- a/src/observe/call-metrics.ts
+++ b/src/observe/call-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics over a process's call counters, read when scraped. */
+/** Prometheus metrics over a process's call counters, read when scraped. Owns nothing; the counters are `CallStats`. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { LATENCY_BOUNDS_MS, type CallStats } from '../call/call-stats.js';
 
--- a/src/observe/control-metrics.ts
+++ b/src/observe/control-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a control replica: what it has accepted, and who waits for news. */
+/** Prometheus metrics of a control replica: what it has accepted, and who waits for news. Owns nothing. */
 import { Gauge, type Registry } from 'prom-client';
 import type { ChangeNotifier } from '../control/change-notifier.js';
 import type { ResourceStore } from '../control/resource-store.js';
--- a/src/observe/follower-metrics.ts
+++ b/src/observe/follower-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a process that follows control: how far behind its configuration is. */
+/** Prometheus metrics of a process that follows control: how far behind its configuration is. Owns nothing. */
 import { Gauge, type Registry } from 'prom-client';
 import type { Follower } from '../follower/follower.js';
 
--- a/src/observe/node-metrics.ts
+++ b/src/observe/node-metrics.ts
@@ -1,6 +1,6 @@
 /**
  * The metrics of a process beside a target: its calls in both directions, its gate's load, and how far
- * behind its configuration is.
+ * behind its configuration is. Relies on the modules of each group of metrics in this folder.
  */
 import type { Registry } from 'prom-client';
 import type { AdmissionController } from '../admission/admission-controller.js';
--- a/src/observe/quarantine-metrics.ts
+++ b/src/observe/quarantine-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of crashes of the target and of requests that are kept from targets. */
+/** Prometheus metrics of crashes of the target and of requests that are kept from targets. Owns nothing. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
 /** Where the figures come from. */
--- a/src/observe/retry-metrics.ts
+++ b/src/observe/retry-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a gate's part of its service's retry budget. */
+/** Prometheus metrics of a gate's part of its service's retry budget. Owns nothing. */
 import { Gauge, type Registry } from 'prom-client';
 import type { ArrivalCounts, ServiceRetryBudget } from '../retry/service-retry-budget.js';
 
--- a/src/programs/process-random.ts
+++ b/src/programs/process-random.ts
@@ -1,4 +1,4 @@
-/** The random source of a process. */
+/** The random source of a process. Owns nothing; relies on the random numbers of the operating system. */
 import { randomInt } from 'node:crypto';
 import { SeededRandom } from '../common/random.js';
 
--- a/src/programs/program.ts
+++ b/src/programs/program.ts
@@ -1,4 +1,7 @@
-/** What every long-running program shares: how it is started and stopped. */
+/**
+ * What every long-running program shares: how it is started and stopped. A program's file has one `start` function that
+ * resolves once all its servers listen, and gives the program back. Owns nothing; times here are those of real timers.
+ */
 
 /** A running program. */
 export interface Program<Settings = never> {
