--- a/src/programs/edge-program.ts
+++ b/src/programs/edge-program.ts
@@ -63,25 +63,25 @@
 
 function createParts(settings: EdgeSettings, logger: Logger): EdgeParts {
   const clock = new SystemClock();
-  const process = { clock, random: processRandom(), settings, logger };
+  const base = { clock, random: processRandom(), settings, logger };
   const pools = new ConnectionPools({ connections: CONNECTIONS_PER_NODE });
   const stop = new StopProgress(clock);
   const directory = createDirectory(
-    process,
+    base,
     (service) => follower.view.table?.serviceSpec(service).slowStartMs ?? 0,
   );
-  const follower = createFollower(process, stop, (view) => adoptEndpoints(view, directory, pools));
-  return { ...process, stats: new CallStats(), pools, stop, directory, follower };
+  const follower = createFollower(base, stop, (view) => adoptEndpoints(view, directory, pools));
+  return { ...base, stats: new CallStats(), pools, stop, directory, follower };
 }
 
 function createFollower(
-  process: FollowingProcess,
+  base: FollowingProcess,
   stop: StopProgress,
   onEndpoints: (view: ConfigurationView) => void,
 ): Follower {
-  const { settings, logger } = process;
+  const { settings, logger } = base;
   const incarnation = Date.now();
-  return createProcessFollower(process, {
+  return createProcessFollower(base, {
     identity: () => ({
       id: settings.id,
       role: 'edge',
--- a/src/programs/node-program.ts
+++ b/src/programs/node-program.ts
@@ -80,7 +80,7 @@
     this.targetPool = new TargetPool(settings.target.origin, DEFAULT_SERVICE_SPEC.connections);
     this.admission = this.createAdmission();
     this.directory = createDirectory(
-      this.process,
+      this.base,
       (service) => this.table.serviceSpec(service).slowStartMs,
     );
     this.follower = this.createFollower();
@@ -116,7 +116,7 @@
     return { origins, stop: () => this.stop(inbound, outbound, admin) };
   }
 
-  private get process(): FollowingProcess {
+  private get base(): FollowingProcess {
     const { clock, random, settings, logger } = this;
     return { clock, random, settings, logger };
   }
@@ -148,7 +148,7 @@
 
   private createFollower(): Follower {
     const { settings } = this;
-    return createProcessFollower(this.process, {
+    return createProcessFollower(this.base, {
       identity: () => ({
         id: settings.id,
         role: 'node',
--- a/src/programs/sidecar-parts.ts
+++ b/src/programs/sidecar-parts.ts
@@ -121,7 +121,7 @@
 export function createSidecarParts(inputs: SidecarInputs): SidecarParts {
   const later: LaterParts = () => parts;
   const clock = new SystemClock();
-  const process: ProcessParts = {
+  const base: ProcessParts = {
     ...inputs,
     clock,
     random: processRandom(),
@@ -129,14 +129,14 @@
     stopProgress: new StopProgress(clock),
   };
   const parts: SidecarParts = {
-    ...process,
-    ...createObservability(process),
-    ...createTargetParts(process, later),
-    ...createGateParts(process, later),
-    ...createIngressParts(process, later),
+    ...base,
+    ...createObservability(base),
+    ...createTargetParts(base, later),
+    ...createGateParts(base, later),
+    ...createIngressParts(base, later),
     downstream: new CongestionLevel(clock),
     repeatedRuns: new RepeatedRuns(),
-    ...createControlLink(process, later),
+    ...createControlLink(base, later),
   };
   return parts;
 }
@@ -149,8 +149,8 @@
   };
 }
 
-function createTargetParts(process: ProcessParts, parts: LaterParts): TargetParts {
-  const { clock, settings, logger, startedAt } = process;
+function createTargetParts(base: ProcessParts, parts: LaterParts): TargetParts {
+  const { clock, settings, logger, startedAt } = base;
   const target = new SidecarTarget(startedAt, logger, parts);
   const lease = new TargetLease(clock, settings.targetSilentMs, () => target.onChanged());
   const crashGuard = new CrashGuard({
@@ -165,8 +165,8 @@
   return { lease, target, instancePool: new InstancePool(clock), crashGuard };
 }
 
-function createGateParts(process: ProcessParts, parts: LaterParts): GateParts {
-  const { clock, random, settings } = process;
+function createGateParts(base: ProcessParts, parts: LaterParts): GateParts {
+  const { clock, random, settings } = base;
   const limiter = new SlotLimiter(SLOT_FRACTION);
   return {
     limiter,
@@ -191,12 +191,12 @@
   return directory.machines.get(lease.current?.service ?? '') ?? 1;
 }
 
-function createIngressParts(process: ProcessParts, parts: LaterParts): IngressParts {
-  const { clock, random, settings, startedAt } = process;
+function createIngressParts(base: ProcessParts, parts: LaterParts): IngressParts {
+  const { clock, random, settings, startedAt } = base;
   return {
     split: new WeightedSplit(random),
     // A target that is slow at its start fills up, and so is chosen less.
-    directory: createDirectory(process, () => 0),
+    directory: createDirectory(base, () => 0),
     links: new LinkPool(settings.linkToken),
     quota: new IngressQuota({
       clock,
@@ -207,9 +207,9 @@
   };
 }
 
-function createControlLink(process: ProcessParts, parts: LaterParts): ControlLinkParts {
-  const { settings, logger, onConfiguration } = process;
-  const follower = createProcessFollower(process, {
+function createControlLink(base: ProcessParts, parts: LaterParts): ControlLinkParts {
+  const { settings, logger, onConfiguration } = base;
+  const follower = createProcessFollower(base, {
     heartbeatIntervalMs: settings.heartbeatIntervalMs,
     identity: () => identityOf(parts()),
     onReply: ({ quota }, sentAt) => {
