--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -1,53 +1,67 @@
-/** The commands `node`, `edge`, `sidecar` and `control`. Each loads only what its program needs. */
-import type { CAC } from 'cac';
+/** The commands `node`, `edge`, `sidecar` and `control`. Each loads only what its program needs: a start is to be short. */
+import type { CAC, Command } from 'cac';
 import type { ProgramOptions } from './run-program.js';
 
 const CONFIG_HELP = 'Settings file (YAML)';
 const SET_HELP = 'Override one setting: PATH=VALUE (repeatable)';
 
-/** Registers the commands. */
+/** Adds the options of commands that run a program. */
+function withSettings(command: Command): Command {
+  return command.option('--config <file>', CONFIG_HELP).option('--set <path=value>', SET_HELP);
+}
+
+/** Registers the commands, in the order of the help text. */
 export function registerProgramCommands(cli: CAC): void {
-  cli
-    .command('node', 'Run the node beside one target')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+  registerNode(cli);
+  registerEdge(cli);
+  registerSidecar(cli);
+  registerControl(cli);
+}
+
+function registerNode(cli: CAC): void {
+  withSettings(cli.command('node', 'Run the node beside one target'))
     .example('  $ shoredoor node --config node.yaml --set zone=muc-north')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { nodeSettingsSchema } = await import('../settings/schemas.js');
+      const { nodeSettingsSchema } = await import('../settings/node-settings.js');
       const { startNode } = await import('../programs/node-program.js');
       await runProgram('node', nodeSettingsSchema, options, startNode);
     });
-  cli
-    .command('edge', 'Run an edge for callers from outside')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerEdge(cli: CAC): void {
+  withSettings(cli.command('edge', 'Run an edge for callers from outside'))
     .example('  $ shoredoor edge --config edge.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { edgeSettingsSchema } = await import('../settings/schemas.js');
+      const { edgeSettingsSchema } = await import('../settings/edge-settings.js');
       const { startEdge } = await import('../programs/edge-program.js');
       await runProgram('edge', edgeSettingsSchema, options, startEdge);
     });
-  cli
-    .command('sidecar', 'Run the node beside one target that is also the ingress of its machine')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerSidecar(cli: CAC): void {
+  withSettings(
+    cli.command(
+      'sidecar',
+      'Run the node beside one target that is also the ingress of its machine',
+    ),
+  )
     .example('  $ shoredoor sidecar --config sidecar.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { sidecarSettingsSchema } = await import('../settings/schemas.js');
+      const { sidecarSettingsSchema } = await import('../settings/sidecar-settings.js');
       const { startSidecar } = await import('../programs/sidecar-program.js');
       await runProgram('sidecar', sidecarSettingsSchema, options, startSidecar);
     });
-  cli
-    .command('control', 'Run a control replica')
-    .option('--config <file>', CONFIG_HELP)
-    .option('--set <path=value>', SET_HELP)
+}
+
+function registerControl(cli: CAC): void {
+  withSettings(cli.command('control', 'Run a control replica'))
     .example('  $ shoredoor control --config control.yaml')
     .action(async (options: ProgramOptions) => {
       const { runProgram } = await import('./run-program.js');
-      const { controlSettingsSchema } = await import('../settings/schemas.js');
+      const { controlSettingsSchema } = await import('../settings/control-settings.js');
       const { startControl } = await import('../programs/control-program.js');
       await runProgram('control', controlSettingsSchema, options, startControl);
     });
--- a/test/golden/control-answers.test.ts
+++ b/test/golden/control-answers.test.ts
@@ -5,7 +5,8 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { ChangeNotifier } from '../../src/control/change-notifier.js';
-import type { CommandLog, LogRefusal, LogStatus } from '../../src/control/command-log.js';
+import type { CommandLog, LogRefusal } from '../../src/control/command-log.js';
+import type { LogStatus } from '../../src/sync/status-report.js';
 import { FollowerApi } from '../../src/control/follower-api.js';
 import { MemberTable } from '../../src/control/member-table.js';
 import { QuotaKeeper } from '../../src/control/quota-keeper.js';
