--- a/src/call/refusal.ts
+++ b/src/call/refusal.ts
@@ -2,6 +2,7 @@
  * Answers that shoredoor gives itself instead of a back end. Typed results, not errors: a refusal
  * is the hottest path under overload.
  */
+import { HttpStatus } from '../common/http-status.js';
 import type { Verdict } from '../common/verdict.js';
 
 /** Why shoredoor answered itself. */
@@ -45,32 +46,39 @@
 }
 
 const REASONS: Record<RefusalReason, ReasonProperties> = {
-  overload: { status: 503, title: 'Overloaded' },
-  'retry-budget': { status: 503, title: 'Too many retries' },
-  deadline: { status: 504, title: 'Deadline exceeded' },
-  leaving: { status: 503, title: 'Leaving' },
-  unavailable: { status: 503, title: 'No target available' },
-  unreachable: { status: 502, title: 'Target unreachable' },
-  'broken-answer': { status: 502, title: 'Answer broke off' },
-  duplicate: { status: 409, title: 'Request already accepted' },
-  'duplicate-unknown': { status: 503, title: 'Earlier requests not known' },
-  'unknown-kind': { status: 404, title: 'Unknown kind of request' },
-  'unknown-group': { status: 401, title: 'Unknown caller' },
-  'unknown-service': { status: 404, title: 'Unknown service' },
-  'bad-request': { status: 400, title: 'Bad request' },
-  'too-large': { status: 413, title: 'Request body too large' },
-  'request-timeout': { status: 408, title: 'Request body too slow' },
-  'not-ready': { status: 503, title: 'Not ready' },
-  'stale-configuration': { status: 503, title: 'Configuration may be old' },
-  'rate-limited': { status: 429, title: 'Rate limit of the group reached' },
-  quarantined: { status: 503, title: 'Request kept from targets' },
+  overload: { status: HttpStatus.ServiceUnavailable, title: 'Overloaded' },
+  'retry-budget': { status: HttpStatus.ServiceUnavailable, title: 'Too many retries' },
+  deadline: { status: HttpStatus.GatewayTimeout, title: 'Deadline exceeded' },
+  leaving: { status: HttpStatus.ServiceUnavailable, title: 'Leaving' },
+  unavailable: { status: HttpStatus.ServiceUnavailable, title: 'No target available' },
+  unreachable: { status: HttpStatus.BadGateway, title: 'Target unreachable' },
+  'broken-answer': { status: HttpStatus.BadGateway, title: 'Answer broke off' },
+  duplicate: { status: HttpStatus.Conflict, title: 'Request already accepted' },
+  'duplicate-unknown': {
+    status: HttpStatus.ServiceUnavailable,
+    title: 'Earlier requests not known',
+  },
+  'unknown-kind': { status: HttpStatus.NotFound, title: 'Unknown kind of request' },
+  'unknown-group': { status: HttpStatus.Unauthorized, title: 'Unknown caller' },
+  'unknown-service': { status: HttpStatus.NotFound, title: 'Unknown service' },
+  'bad-request': { status: HttpStatus.BadRequest, title: 'Bad request' },
+  'too-large': { status: HttpStatus.ContentTooLarge, title: 'Request body too large' },
+  'request-timeout': { status: HttpStatus.RequestTimeout, title: 'Request body too slow' },
+  'not-ready': { status: HttpStatus.ServiceUnavailable, title: 'Not ready' },
+  'stale-configuration': {
+    status: HttpStatus.ServiceUnavailable,
+    title: 'Configuration may be old',
+  },
+  'rate-limited': { status: HttpStatus.TooManyRequests, title: 'Rate limit of the group reached' },
+  quarantined: { status: HttpStatus.ServiceUnavailable, title: 'Request kept from targets' },
 };
 
-const STATUS_UNAVAILABLE = 503;
-const STATUS_BAD_GATEWAY = 502;
 /** Statuses that say by themselves that the request was not run (RFC 9110, section 15.6.4). */
-const NOT_RUN_STATUSES: readonly number[] = [408, STATUS_UNAVAILABLE];
-const UNKNOWN_STATUSES: readonly number[] = [STATUS_BAD_GATEWAY, 504];
+const NOT_RUN_STATUSES: readonly number[] = [
+  HttpStatus.RequestTimeout,
+  HttpStatus.ServiceUnavailable,
+];
+const UNKNOWN_STATUSES: readonly number[] = [HttpStatus.BadGateway, HttpStatus.GatewayTimeout];
 
 /**
  * HTTP status of a refusal. Callers that read nothing but the status may send a request again after
@@ -78,8 +86,9 @@
  */
 export function refusalStatus({ reason, verdict }: Pick<Refusal, 'reason' | 'verdict'>): number {
   const { status } = REASONS[reason];
-  if (verdict === 'not-run') return UNKNOWN_STATUSES.includes(status) ? STATUS_UNAVAILABLE : status;
-  return NOT_RUN_STATUSES.includes(status) ? STATUS_BAD_GATEWAY : status;
+  if (verdict === 'not-run')
+    return UNKNOWN_STATUSES.includes(status) ? HttpStatus.ServiceUnavailable : status;
+  return NOT_RUN_STATUSES.includes(status) ? HttpStatus.BadGateway : status;
 }
 
 /** Whether `text` names a refusal reason. */
--- a/src/call/request-target.ts
+++ b/src/call/request-target.ts
@@ -1,5 +1,10 @@
-/** Reads what a request line and its preferences say. */
+/**
+ * Reads the path of a request line and the waiting time of its `Prefer` header. For the edge and for both sides of a node;
+ * a sidecar matches the path as it came and reads the client's timeout from a header of its own. Owns nothing; pure.
+ */
+import { MS_PER_SECOND } from '../common/units.js';
 
+/** Longest time that a caller can say it waits, in seconds; the deadline of its kind bounds it besides. Not measured. */
 const MAX_WAIT_SECONDS = 600;
 const WAIT_PREFERENCE = /(?:^|[,;\s])wait\s*=\s*"?(\d{1,6})"?/i;
 
@@ -26,5 +31,5 @@
   const text = Array.isArray(prefer) ? prefer.join(',') : prefer;
   const seconds = WAIT_PREFERENCE.exec(text)?.[1];
   if (seconds === undefined) return undefined;
-  return Math.min(MAX_WAIT_SECONDS, Number(seconds)) * 1_000;
+  return Math.min(MAX_WAIT_SECONDS, Number(seconds)) * MS_PER_SECOND;
 }
--- a/src/call/retry-after.ts
+++ b/src/call/retry-after.ts
@@ -6,10 +6,9 @@
  * Relies on callers that honour `Retry-After`; nothing here is held against those that do not.
  */
 import type { RandomSource } from '../common/random.js';
+import { MS_PER_SECOND } from '../common/units.js';
 import type { Refusal, RefusalReason } from './refusal.js';
 
-const MILLISECONDS = 1_000;
-
 /** No `Retry-After`: coming again does not help, or the request may have run. */
 export const NO_RETRY_AFTER = 0;
 
@@ -64,7 +63,7 @@
 
 /** For a request that a process about to end refuses: another one should be in its place by then. */
 export function stoppingSeconds(drainTimeLeftMs: number): number {
-  return SOON_SECONDS + drainTimeLeftMs / MILLISECONDS;
+  return SOON_SECONDS + drainTimeLeftMs / MS_PER_SECOND;
 }
 
 /** For a request with a key where control has not confirmed the configuration; spread over half to one and a half times. */
@@ -78,7 +77,7 @@
  */
 export function rateLimitedSeconds(msToNextPermit: number | undefined): number {
   if (msToNextPermit === undefined) return NO_GRANT_SECONDS;
-  return Math.max(MIN_RATE_LIMITED_SECONDS, msToNextPermit / MILLISECONDS);
+  return Math.max(MIN_RATE_LIMITED_SECONDS, msToNextPermit / MS_PER_SECOND);
 }
 
 /**
@@ -95,7 +94,7 @@
   }
   if (EXACT_REASONS.has(refusal.reason)) return refusal.retryAfterSeconds;
   const factor = 1 - CLIENT_SPREAD + 2 * CLIENT_SPREAD * random.next();
-  return (objectiveMs * CLIENT_OBJECTIVE_PART * factor) / MILLISECONDS;
+  return (objectiveMs * CLIENT_OBJECTIVE_PART * factor) / MS_PER_SECOND;
 }
 
 /** Seconds as the client can read them. @param isFractional false for whole seconds, as RFC 9110 has them */
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -3,6 +3,7 @@
  * a virtual clock, so that the same modules run unchanged in both.
  */
 import { uptime } from 'node:os';
+import { MS_PER_SECOND } from './units.js';
 
 /** A scheduled callback that can be cancelled before it runs. */
 export interface Timer {
@@ -28,12 +29,10 @@
   uptimeMs(): number;
 }
 
-const MILLISECONDS = 1_000;
-
 const SYSTEM_SOURCES: ClockSources = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
-  uptimeMs: () => uptime() * MILLISECONDS,
+  uptimeMs: () => uptime() * MS_PER_SECOND,
 };
 
 /** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. */
--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -3,7 +3,6 @@
 import type { Route } from '../policy/route-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
 import { contextName, type CallContext } from '../call/call-context.js';
-import type { RandomSource } from '../common/random.js';
 import type { OutboundRequest, OutboundResult } from '../outbound/outbound-request.js';
 
 /** Group of requests without a key. */
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -3,6 +3,7 @@
  * finds their route, and sends them to a sidecar beside a target of the route's service.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
+import { HttpStatus } from '../common/http-status.js';
 import { writeRefusal } from '../http/caller-response.js';
 import { headerValue } from '../http/target-headers.js';
 import type { PolicyTable } from '../policy/policy-table.js';
@@ -38,7 +39,6 @@
   readonly maxProofAgeMs: number;
 }
 
-const STATUS_HEADERS_TOO_LARGE = 431;
 /** Bytes of a header line besides name and value: colon, space, line end. */
 const HEADER_LINE_BYTES = 4;
 /** Trying again does not help. */
@@ -66,7 +66,7 @@
       return;
     }
     if (headerBytes(message) > table.ingress.maxHeaderBytes) {
-      response.writeHead(STATUS_HEADERS_TOO_LARGE, { 'Content-Length': 0, Connection: 'close' });
+      response.writeHead(HttpStatus.HeadersTooLarge, { 'Content-Length': 0, Connection: 'close' });
       response.end();
       return;
     }
--- a/src/quota/quota-rule.ts
+++ b/src/quota/quota-rule.ts
@@ -1,4 +1,5 @@
 /** How many requests of a group may run in a window of time, over the whole fleet. */
+import { MS_PER_SECOND } from '../common/units.js';
 import type { GroupRate } from '../policy/group-table.js';
 
 /** The bound that has to hold for every group with a rate. */
@@ -19,11 +20,10 @@
  * requests that wait at gates after they were counted, and grants of a leader that was lost.
  */
 const HANDED_OUT_PART = 0.7;
-const MILLISECONDS = 1_000;
 
 /** Most requests that may run in any window. */
 export function boundInWindow({ perSecond, burst }: GroupRate, rule: QuotaRule): number {
-  const declared = (perSecond * rule.windowMs) / MILLISECONDS + burst;
+  const declared = (perSecond * rule.windowMs) / MS_PER_SECOND + burst;
   return declared * (1 + rule.tolerance) + rule.slack;
 }
 
