--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -17,11 +17,8 @@
 } from '../../../src/gate/gate-policy.js';
 import { InboundCall } from '../../../src/gate/inbound-call.js';
 import type { InboundServices } from '../../../src/gate/inbound-services.js';
-import {
-  congestionOf,
-  ingressContext,
-  ingressRequest,
-} from '../../../src/ingress/ingress-policy.js';
+import { ingressContext, ingressRequest } from '../../../src/ingress/ingress-policy.js';
+import { learnFromResult } from '../../../src/ingress/result-learning.js';
 import { frameContext } from '../../../src/link/frame-context.js';
 import type { OutboundResult } from '../../../src/outbound/outbound-request.js';
 import { OutboundRouter } from '../../../src/outbound/outbound-router.js';
@@ -230,11 +227,8 @@
   }
 
   private learn(route: string, result: OutboundResult): void {
-    if (result.type === 'broken') return;
-    if (result.nested !== undefined) this.nestedRoutes.onAnswer(route, result.nested);
-    if (!this.nestedRoutes.has(route)) return;
-    this.downstream.onCall(congestionOf(result));
-    this.retryBudget.onCallBelow(result.repeatRoom);
+    const { nestedRoutes, downstream, retryBudget } = this;
+    learnFromResult({ nestedRoutes, downstream, retryBudget }, route, result);
   }
 
   private answerOf(route: Route, result: OutboundResult, status: number): SimAnswer {
--- a/src/ingress/group-access.ts
+++ b/src/ingress/group-access.ts
@@ -1,14 +1,21 @@
-/** Who a request belongs to, and whether it may run at all. Pure. */
+/**
+ * Rules 6 and 7 of an ingress: who a request belongs to, and whether it may run at all.
+ *
+ * Owns nothing; pure. Relies on the groups of the configuration in force, and on the age of its proof.
+ */
 import type { Group } from '../policy/group-table.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import type { Route } from '../policy/route-table.js';
-import type { RefusalReason } from '../call/refusal.js';
 
 /** What is decided from the key of a request. */
 export type Access =
   /** @see Group; undefined where the request needs no key */
   | { readonly type: 'granted'; readonly group: Group | undefined }
-  | { readonly type: 'refused'; readonly reason: RefusalReason; readonly detail: string };
+  | {
+      readonly type: 'refused';
+      readonly reason: 'stale-configuration' | 'unknown-group';
+      readonly detail: string;
+    };
 
 const WITHOUT_GROUP: Access = { type: 'granted', group: undefined };
 const UNPROVEN: Access = {
--- a/src/ingress/ingress-exchange.ts
+++ b/src/ingress/ingress-exchange.ts
@@ -1,41 +1,39 @@
-/** One request under way at the ingress: its body, its context, the call, and what the client is told. */
+/**
+ * One request under way at the ingress: reads its body, makes its context, gets its permit, starts its call and tells the
+ * client how it ended. Decides nothing: the rules are in `ingress-rules.ts`, in their order.
+ *
+ * Owns the call and the permit of the request. Relies on the outgoing call to write the answers of targets.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { CongestionLevel } from '../admission/congestion-level.js';
+import type { CallContext } from '../call/call-context.js';
+import type { CallDurations } from '../call/call-durations.js';
+import type { CallStats } from '../call/call-stats.js';
+import type { Refusal } from '../call/refusal.js';
+import type { IngressRecord, RequestJournal } from '../call/request-journal.js';
+import { clientRetryAfterSeconds, headerSeconds } from '../call/retry-after.js';
+import type { StopProgress } from '../call/stop-phase.js';
+import { boundedByStop } from '../call/stop-policy.js';
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
-import { writeRefusal } from '../http/caller-response.js';
-import { readRequestBody, type BodyLimits, type RequestBody } from '../http/request-body.js';
-import { deadlineOf, headerValue, type TargetHeaders } from '../http/target-headers.js';
+import { CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
+import type { BodyLimits, RequestBody } from '../http/request-body.js';
+import { deadlineOf, headerValue } from '../http/target-headers.js';
 import { PeerTransport, type PeerTransportOptions } from '../link/peer-transport.js';
+import type { OutboundCall } from '../outbound/outbound-call.js';
+import type { OutboundResult } from '../outbound/outbound-request.js';
+import type { OutboundRouter } from '../outbound/outbound-router.js';
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
 import { fingerprintOf } from '../quarantine/request-fingerprint.js';
 import type { IngressQuota, QuotaPermit } from '../quota/ingress-quota.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
-import type { ServiceRetryBudget } from '../retry/service-retry-budget.js';
-import type { NestedRoutes } from '../routing/nested-routes.js';
 import type { WeightedSplit } from '../routing/weighted-split.js';
-import type { CallContext } from '../call/call-context.js';
-import type { CallDurations } from '../call/call-durations.js';
-import type { CallStats } from '../call/call-stats.js';
-import { congestionOf, ingressContext, ingressRequest, quotaWaitMs } from './ingress-policy.js';
-import type { OutboundCall } from '../outbound/outbound-call.js';
-import type { OutboundResult } from '../outbound/outbound-request.js';
-import type { OutboundRouter } from '../outbound/outbound-router.js';
-import type { Refusal } from '../call/refusal.js';
-import {
-  clientRetryAfterSeconds,
-  headerSeconds,
-  NO_RETRY_AFTER,
-  QUARANTINED_SECONDS,
-  SOON_SECONDS,
-} from '../call/retry-after.js';
-import type { IngressRecord, RequestJournal } from '../call/request-journal.js';
-import type { StopProgress } from '../call/stop-phase.js';
-import { boundedByStop } from '../call/stop-policy.js';
+import { ingressContext, ingressRequest } from './ingress-policy.js';
+import { cutByStop, decideOnBody, decideOnSending, rateLimited } from './ingress-rules.js';
+import { learnFromResult, type ResultLearners } from './result-learning.js';
 
 /** What the exchanges of one ingress share. */
-export interface IngressExchangeOptions {
+export interface IngressExchangeOptions extends ResultLearners {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly router: OutboundRouter;
@@ -46,29 +44,16 @@
   /** Once the process is stopping, answers close their connections. */
   readonly stop: StopProgress;
   readonly journal: RequestJournal;
-  /** Learns of calls of the target that are held up or refused. */
-  readonly downstream: CongestionLevel;
   /** How many of the target's runs are repeats, and so the calls that it makes. */
   readonly repeatedRuns: RepeatedRuns;
-  /** Learns when a service that the target calls grants no repeats. */
-  readonly retryBudget: ServiceRetryBudget;
   /** Whether clients read fractions of a second in `Retry-After`; RFC 9110 knows whole ones only. */
   readonly fractionalRetryAfter: boolean;
-  /** Routes whose calls are made by targets, as gates have said. */
-  readonly nestedRoutes: NestedRoutes;
   /** Whether the request with this fingerprint is kept from targets. */
   readonly isQuarantined: (fingerprint: string) => boolean;
   /** Bounds the requests of groups with a limit. */
   readonly quota: IngressQuota;
 }
 
-const QUARANTINED: Refusal = {
-  reason: 'quarantined',
-  verdict: 'not-run',
-  retryAfterSeconds: QUARANTINED_SECONDS,
-  detail: 'Targets crash under the request.',
-};
-
 /** A request whose route is known. */
 export interface IngressRequest {
   readonly message: IncomingMessage;
@@ -81,127 +66,119 @@
 }
 
 /** See the module comment. */
-export class IngressExchange {
+export class IngressExchange extends CallerExchange {
   private readonly startedAt: number;
   private readonly service: string;
+  private readonly route: Route;
   private context: CallContext;
   private call: OutboundCall | undefined;
   private permit: QuotaPermit | undefined;
   private isOver = false;
-  private readonly message: IncomingMessage;
-  private readonly response: ServerResponse;
-  private readonly route: Route;
+  private onOver: (() => void) | undefined;
 
   constructor(
     private readonly options: IngressExchangeOptions,
     private readonly durations: CallDurations,
     private readonly request: IngressRequest,
   ) {
-    this.message = request.message;
-    this.response = request.response;
+    super(request.message, request.response, options.stats, request.route.name);
     this.route = request.route;
     this.startedAt = options.clock.now();
     this.service = options.split.next(this.route);
-    this.context = this.createContext(options.transport.names);
+    this.context = this.createContext();
   }
 
   /** @param onOver called once, when the exchange has ended */
   start(onOver: () => void): void {
-    const { stats, bodyLimits } = this.options;
-    stats.onStart();
-    this.response.once('close', () => {
-      onOver();
-      this.onClose();
-    });
-    readRequestBody(this.message, bodyLimits(), (body, fault) => {
-      if (body !== undefined) this.send(body);
-      else if (fault === 'caller-gone' || fault === undefined) this.response.destroy();
-      else {
-        this.response.shouldKeepAlive = false;
-        const detail = 'The request body was not taken.';
-        this.refuse({
-          reason: fault,
-          verdict: 'not-run',
-          retryAfterSeconds: NO_RETRY_AFTER,
-          detail,
-        });
-      }
-    });
-  }
-
-  private createContext(names: TargetHeaders): CallContext {
-    const { message, route, service, startedAt } = this;
-    const { nestedRoutes, repeatedRuns } = this.options;
-    const context = ingressContext(route, {
-      requestId: headerValue(message.headers, names.requestId) ?? '',
-      service,
-      clientTimeoutMs: deadlineOf(names, message.headers),
-      arrivedAt: startedAt,
-      group: this.request.group,
-      inheritedShare: nestedRoutes.has(route.name) ? repeatedRuns.share() : 0,
-    });
-    return boundedByStop(context, this.options.stop);
+    this.onOver = onOver;
+    this.begin();
+    this.readBody(this.options.bodyLimits());
   }
 
   endWithProcess(): void {
     if (this.call !== undefined) this.call.endWithProcess();
-    else if (!this.response.headersSent) {
-      const detail = 'The process had to end before the request was read.';
-      this.refuse({
-        reason: 'leaving',
-        verdict: 'not-run',
-        retryAfterSeconds: SOON_SECONDS,
-        detail,
-      });
-    }
+    else if (!this.response.headersSent) this.refuse(cutByStop().refusal);
   }
 
-  private send(body: RequestBody): void {
+  /** What there is to say of the request now. */
+  record(): IngressRecord {
+    return {
+      requestId: this.context.requestId,
+      route: this.route.name,
+      service: this.service,
+      revision: this.request.revision,
+      heldMs: Math.round(this.options.clock.now() - this.startedAt),
+      attempts: this.call?.attempted ?? [],
+      fingerprint: this.context.fingerprint,
+    };
+  }
+
+  protected override onBodyRefused(reason: BodyRefusalReason): void {
+    // The rest of the body would be read as the next request.
+    this.response.shouldKeepAlive = false;
+    this.refuse(decideOnBody(reason).refusal);
+  }
+
+  protected override onBody(body: RequestBody): void {
     // A request that was told that it has not run is not sent on when the rest of its body arrives.
     if (this.response.headersSent) return;
-    const { isQuarantined } = this.options;
     const fingerprint = this.fingerprint(body);
-    if (isQuarantined(fingerprint)) {
-      this.refuse(QUARANTINED);
+    const { route, group } = this.request;
+    const isQuarantined = this.options.isQuarantined(fingerprint);
+    const decision = decideOnSending({ route, group, isQuarantined });
+    if (decision.type === 'refused') {
+      this.refuse(decision.refusal);
       return;
     }
     this.context = { ...this.context, fingerprint };
-    const { group } = this.request;
-    if (group === undefined) {
-      this.forward(body);
-      return;
-    }
-    const maxWaitMs = quotaWaitMs(this.route);
-    this.options.quota.acquire(group, maxWaitMs, (permit) => this.onPermit(group, permit, body));
+    if (decision.type === 'send') this.send(body);
+    else this.askQuota(decision.group, decision.maxWaitMs, body);
   }
 
-  /** @param permit undefined where the group has had the requests that it may make */
-  private onPermit(group: Group, permit: QuotaPermit | undefined, body: RequestBody): void {
-    if (this.isOver || this.response.headersSent) {
-      permit?.release();
-      return;
-    }
-    if (permit === undefined) {
-      this.refuse({
-        reason: 'rate-limited',
-        verdict: 'not-run',
-        retryAfterSeconds: this.options.quota.retryAfterSeconds(group.name),
-        detail: `Group '${group.name}' is at its rate. ${this.options.quota.describe(group.name)}`,
-      });
-      return;
-    }
-    this.permit = permit;
-    this.forward(body);
+  protected override onClosed(isAnswered: boolean): void {
+    this.onOver?.();
+    this.isOver = true;
+    if (isAnswered) return;
+    this.countCancelled();
+    this.call?.cancel();
+  }
+
+  private createContext(): CallContext {
+    const { message, route, service, startedAt } = this;
+    const { nestedRoutes, repeatedRuns, stop, transport } = this.options;
+    const { names } = transport;
+    const context = ingressContext(route, {
+      requestId: headerValue(message.headers, names.requestId) ?? '',
+      service,
+      clientTimeoutMs: deadlineOf(names, message.headers),
+      arrivedAt: startedAt,
+      group: this.request.group,
+      inheritedShare: nestedRoutes.has(route.name) ? repeatedRuns.share() : 0,
+    });
+    return boundedByStop(context, stop);
+  }
+
+  private askQuota(group: Group, maxWaitMs: number, body: RequestBody): void {
+    const { quota } = this.options;
+    quota.acquire(group, maxWaitMs, (permit) => {
+      if (this.isOver || this.response.headersSent) {
+        permit?.release();
+        return;
+      }
+      this.permit = permit;
+      if (permit === undefined) this.refuse(rateLimited(group, quota.state(group.name)).refusal);
+      else this.send(body);
+    });
   }
 
-  private forward(body: RequestBody): void {
+  private send(body: RequestBody): void {
     const { router, transport, nestedRoutes } = this.options;
-    const { context, route, service } = this;
-    const { group } = this.request;
+    const { context, route, service, message, response } = this;
+    const groupName = this.request.group?.name;
     this.call = router.call(
       service,
       ingressRequest(route, context, nestedRoutes.has(route.name)),
-      new PeerTransport(transport, context, this.message, body, this.response, group?.name),
+      new PeerTransport(transport, context, message, body, response, groupName),
       (result) => this.onResult(result),
     );
   }
@@ -220,64 +197,33 @@
     });
   }
 
-  private onClose(): void {
-    this.isOver = true;
-    this.options.stats.onFinish();
-    if (this.response.writableFinished) return;
-    this.options.stats.kind(this.route.name).cancelled += 1;
-    this.call?.cancel();
-  }
-
   private onResult(result: OutboundResult): void {
-    const stats = this.options.stats.kind(this.route.name);
-    if (result.type !== 'broken') this.learn(result);
-    if (result.type === 'refused') {
-      if (result.refusal.verdict === 'not-run') this.permit?.release();
-      this.refuse(result.refusal);
-      return;
+    const { journal, clock } = this.options;
+    if (learnFromResult(this.options, this.route.name, result)) {
+      journal.onRouteLearned(this.record(), this.options.nestedRoutes.has(this.route.name));
     }
-    if (result.type === 'broken') {
-      stats.broken += 1;
-      this.options.journal.onIngress(this.record(), 'broken');
-      this.response.destroy();
-      return;
-    }
-    const heldMs = this.options.clock.now() - this.startedAt;
-    stats.relayed += 1;
-    stats.onLatency(heldMs);
-    this.durations.onCall(this.route.name, heldMs);
-  }
-
-  /** Of a call that the target of this machine made: how congested it is below. */
-  private learn(result: Exclude<OutboundResult, { type: 'broken' }>): void {
-    const { nestedRoutes, downstream, retryBudget } = this.options;
-    if (result.nested !== undefined && nestedRoutes.onAnswer(this.route.name, result.nested)) {
-      this.options.journal.onRouteLearned(this.record(), result.nested);
+    switch (result.type) {
+      case 'refused':
+        if (result.refusal.verdict === 'not-run') this.permit?.release();
+        this.refuse(result.refusal);
+        return;
+      case 'broken':
+        journal.onIngress(this.record(), 'broken');
+        this.breakOff();
+        return;
+      case 'relayed': {
+        const heldMs = clock.now() - this.startedAt;
+        this.countRelayed(heldMs);
+        this.durations.onCall(this.route.name, heldMs);
+      }
     }
-    if (!nestedRoutes.has(this.route.name)) return;
-    downstream.onCall(congestionOf(result));
-    retryBudget.onCallBelow(result.repeatRoom);
   }
 
   private refuse(refusal: Refusal): void {
-    this.options.stats.kind(this.route.name).onRefused(refusal.reason);
-    this.options.journal.onIngress(this.record(), refusal);
-    const { random, fractionalRetryAfter } = this.options;
+    const { journal, random, fractionalRetryAfter } = this.options;
+    journal.onIngress(this.record(), refusal);
     const seconds = clientRetryAfterSeconds(this.route.objectiveMs, refusal, random);
     const retryAfterSeconds = headerSeconds(seconds, fractionalRetryAfter);
-    writeRefusal(this.response, { ...refusal, retryAfterSeconds }, this.context.requestId);
-  }
-
-  /** What there is to say of the request now. */
-  record(): IngressRecord {
-    return {
-      requestId: this.context.requestId,
-      route: this.route.name,
-      service: this.service,
-      revision: this.request.revision,
-      heldMs: Math.round(this.options.clock.now() - this.startedAt),
-      attempts: this.call?.attempted ?? [],
-      fingerprint: this.context.fingerprint,
-    };
+    this.writeRefusal({ ...refusal, retryAfterSeconds }, this.context.requestId);
   }
 }
--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -1,9 +1,14 @@
-/** What an ingress decides about a request once it knows its route. Pure. */
+/**
+ * What a request may do once the ingress has let it begin: its deadline, its longest wait at a gate, its retries, and how it
+ * is sent. For the ingress of a sidecar and the simulated one.
+ *
+ * Owns nothing; pure. Relies on the route's declared limits.
+ */
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
 import { contextName, type CallContext } from '../call/call-context.js';
-import type { OutboundRequest, OutboundResult } from '../outbound/outbound-request.js';
+import type { OutboundRequest } from '../outbound/outbound-request.js';
 
 /** Group of requests without a key. */
 const DEFAULT_GROUP = 'default';
@@ -14,8 +19,6 @@
 /** Targets that are tried after one has refused for overload. */
 const OVERLOAD_REROUTES = 1;
 
-/** Part of its objective that a request may wait for a permit in the quota of its group. */
-const QUOTA_WAIT_PART = 0.1;
 /** What a request brings besides its route. */
 export interface IngressArrival {
   readonly requestId: string;
@@ -71,18 +74,3 @@
     hedgeDelayFactor: HEDGE_DELAY_FACTOR,
   };
 }
-
-/**
- * Longest time in milliseconds that a request waits for control to grant its group more: an answer of control takes some
- * milliseconds, and a request that is refused after it can still come again within its objective.
- */
-export function quotaWaitMs({ objectiveMs }: Route): number {
-  return objectiveMs * QUOTA_WAIT_PART;
-}
-
-/** How congested a call that the target of this machine made was below, 0 to 1. */
-export function congestionOf(result: Exclude<OutboundResult, { type: 'broken' }>): number {
-  const isLost =
-    result.type === 'refused' && (result.overloaded || result.refusal.reason === 'deadline');
-  return isLost ? 1 : result.congestion;
-}
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -1,31 +1,26 @@
 /**
- * The outbound side of a sidecar: takes requests of the clients and of the target on its machine,
- * finds their route, and sends them to a sidecar beside a target of the route's service.
+ * The outbound side of a sidecar: takes requests of the clients and of the target on its machine, asks the rules of
+ * `ingress-rules.ts` about their heads, and starts an exchange for each that may begin.
+ *
+ * Owns the exchanges under way and how long requests of each route take here. Relies on an HTTP server that hands it
+ * requests, and on the parts that its options name.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
+import { CallDurations } from '../call/call-durations.js';
+import type { Refusal } from '../call/refusal.js';
+import type { IngressRecord } from '../call/request-journal.js';
+import { headerSeconds } from '../call/retry-after.js';
+import { StopPhase } from '../call/stop-phase.js';
 import { HttpStatus } from '../common/http-status.js';
 import { writeRefusal } from '../http/caller-response.js';
 import { headerValue } from '../http/target-headers.js';
 import type { PolicyTable } from '../policy/policy-table.js';
-import type { Route } from '../policy/route-table.js';
-import { CallDurations } from '../call/call-durations.js';
-import { accessOf } from './group-access.js';
 import {
   IngressExchange,
   type IngressExchangeOptions,
   type IngressRequest,
 } from './ingress-exchange.js';
-import type { RefusalReason } from '../call/refusal.js';
-import {
-  headerSeconds,
-  NO_RETRY_AFTER,
-  SOON_SECONDS,
-  staleConfigurationSeconds,
-  stoppingSeconds,
-} from '../call/retry-after.js';
-import type { IngressRecord } from '../call/request-journal.js';
-import { StopPhase } from '../call/stop-phase.js';
-import { ingressTakes } from '../call/stop-policy.js';
+import { decideOnHead, type HeadDecision } from './ingress-rules.js';
 
 /** What the ingress is made of. */
 export interface IngressServerOptions extends IngressExchangeOptions {
@@ -35,14 +30,12 @@
   readonly table: () => PolicyTable | undefined;
   /** Milliseconds since control confirmed that no key of the table has been taken away. */
   readonly proofAgeMs: () => number;
-  /** Longest such time with which requests with keys run; Infinity where there is no bound. */
+  /** Longest such time with which requests with keys run, in milliseconds; Infinity where there is no bound. */
   readonly maxProofAgeMs: number;
 }
 
-/** Bytes of a header line besides name and value: colon, space, line end. */
-const HEADER_LINE_BYTES = 4;
-/** Trying again does not help. */
-const FINAL_REASONS: ReadonlySet<RefusalReason> = new Set(['unknown-kind', 'unknown-group']);
+/** Requests that are refused before they have a route are counted under this name. */
+const UNMATCHED = 'unmatched';
 
 export class IngressServer {
   private readonly underWay = new Set<IngressExchange>();
@@ -58,27 +51,20 @@
   /** Handles one request. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     response.sendDate = false;
-    const { stop } = this.options;
-    if (stop.phase !== StopPhase.Running) response.shouldKeepAlive = false;
-    const table = this.options.table();
-    if (table === undefined) {
-      this.refuse(message, response, 'not-ready', 'No configuration has been received yet.');
-      return;
-    }
-    if (headerBytes(message) > table.ingress.maxHeaderBytes) {
-      response.writeHead(HttpStatus.HeadersTooLarge, { 'Content-Length': 0, Connection: 'close' });
-      response.end();
-      return;
+    if (this.options.stop.phase !== StopPhase.Running) response.shouldKeepAlive = false;
+    const decision = this.decide(message);
+    switch (decision.type) {
+      case 'refused':
+        this.refuse(message, response, decision.refusal);
+        return;
+      case 'headers-too-large':
+        refuseHeaders(response);
+        return;
+      case 'begin': {
+        const { route, group, revision } = decision;
+        this.begin({ message, response, route, group, revision });
+      }
     }
-    const path = pathOf(message.url ?? '');
-    const route = path === undefined ? undefined : table.routes.match(message.headers.host, path);
-    if (route === undefined) {
-      this.refuse(message, response, 'unknown-kind', 'No route matches host and path.');
-    } else if (!this.takes(route)) {
-      this.refuse(message, response, 'leaving', 'The process is about to end.');
-    } else if (this.options.stats.inFlight >= this.options.maxInFlight) {
-      this.refuse(message, response, 'overload', 'The process is at its limit of requests.');
-    } else this.beginIfAllowed(message, response, route, table);
   };
 
   /** The process is about to end: answers each request under way, truly, that it can't be waited for. */
@@ -86,28 +72,24 @@
     for (const exchange of [...this.underWay]) exchange.endWithProcess();
   }
 
-  private takes({ name: kind, repeatable }: Route): boolean {
-    const { stop, nestedRoutes } = this.options;
-    const isNested = nestedRoutes.has(kind);
-    return ingressTakes(stop, this.durations, { kind, repeatable, isNested });
-  }
-
-  private beginIfAllowed(
-    message: IncomingMessage,
-    response: ServerResponse,
-    route: Route,
-    table: PolicyTable,
-  ): void {
-    const key = headerValue(message.headers, this.options.transport.names.apiKey);
-    const proofAgeMs = this.options.proofAgeMs();
-    const access = accessOf(table, route, key, proofAgeMs <= this.options.maxProofAgeMs);
-    if (access.type === 'refused') {
-      const detail = `${access.detail} Confirmed ${Math.round(proofAgeMs)} ms ago.`;
-      this.refuse(message, response, access.reason, detail);
-    } else {
-      const { group } = access;
-      this.begin({ message, response, route, group, revision: table.revision });
-    }
+  private decide({ url, headers, rawHeaders }: IncomingMessage): HeadDecision {
+    const { table, stop, stats, nestedRoutes, random, transport } = this.options;
+    const { maxInFlight, proofAgeMs, maxProofAgeMs } = this.options;
+    const apiKey = headerValue(headers, transport.names.apiKey);
+    return decideOnHead(
+      { host: headers.host, url: url ?? '', rawHeaders, apiKey },
+      {
+        table: table(),
+        stop,
+        durations: this.durations,
+        nestedRoutes,
+        inFlight: stats.inFlight,
+        maxInFlight,
+        proofAgeMs,
+        maxProofAgeMs,
+        random,
+      },
+    );
   }
 
   private begin(request: IngressRequest): void {
@@ -116,40 +98,17 @@
     exchange.start(() => this.underWay.delete(exchange));
   }
 
-  private retryAfterSeconds(reason: RefusalReason): number {
-    const { stop, random } = this.options;
-    if (FINAL_REASONS.has(reason)) return NO_RETRY_AFTER;
-    if (reason === 'leaving') return stoppingSeconds(stop.drainTimeLeftMs);
-    if (reason === 'stale-configuration') return staleConfigurationSeconds(random);
-    return SOON_SECONDS;
+  private refuse(message: IncomingMessage, response: ServerResponse, refusal: Refusal): void {
+    const { transport, stats, journal, fractionalRetryAfter } = this.options;
+    const requestId = headerValue(message.headers, transport.names.requestId) ?? '';
+    const retryAfterSeconds = headerSeconds(refusal.retryAfterSeconds, fractionalRetryAfter);
+    stats.kind(UNMATCHED).onRefused(refusal.reason);
+    journal.onRefusedEarly(requestId, refusal);
+    writeRefusal(response, { ...refusal, retryAfterSeconds }, requestId);
   }
-
-  private refuse(
-    message: IncomingMessage,
-    response: ServerResponse,
-    reason: RefusalReason,
-    detail: string,
-  ): void {
-    const { fractionalRetryAfter } = this.options;
-    const retryAfterSeconds = headerSeconds(this.retryAfterSeconds(reason), fractionalRetryAfter);
-    const requestId = headerValue(message.headers, this.options.transport.names.requestId) ?? '';
-    this.options.stats.kind('unmatched').onRefused(reason);
-    this.options.journal.onRefusedEarly(requestId, { reason, detail });
-    writeRefusal(response, { reason, verdict: 'not-run', retryAfterSeconds, detail }, requestId);
-  }
-}
-
-/** The path of a request target in origin form; undefined for other forms. */
-function pathOf(url: string): string | undefined {
-  if (!url.startsWith('/')) return undefined;
-  const queryStart = url.indexOf('?');
-  return queryStart < 0 ? url : url.slice(0, queryStart);
 }
 
-/** Size of a request's header lines. */
-function headerBytes(message: IncomingMessage): number {
-  const { rawHeaders } = message;
-  let bytes = (rawHeaders.length / 2) * HEADER_LINE_BYTES;
-  for (const part of rawHeaders) bytes += part.length;
-  return bytes;
+function refuseHeaders(response: ServerResponse): void {
+  response.writeHead(HttpStatus.HeadersTooLarge, { 'Content-Length': 0, Connection: 'close' });
+  response.end();
 }
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -29,6 +29,14 @@
   release(): void;
 }
 
+/** Where a group stands at this ingress. */
+export interface QuotaState {
+  /** One sentence on what the group has used, may use and has asked for. */
+  readonly description: string;
+  /** Seconds after which a refused request of the group may get a permit. */
+  readonly retryAfterSeconds: number;
+}
+
 /** Hears whether a request may run; undefined where it may not. */
 export type PermitListener = (permit: QuotaPermit | undefined) => void;
 
@@ -98,7 +106,7 @@
       return;
     }
     const { clock } = this.options;
-    const state = this.state(name);
+    const state = this.stateOf(name);
     const now = clock.now();
     state.offered.add(now);
     const permit = this.tryAcquire(state, now);
@@ -139,7 +147,7 @@
     if (sequence <= this.adopted) return;
     this.adopted = sequence;
     for (const { group, allowance } of grants) {
-      const state = this.state(group);
+      const state = this.stateOf(group);
       state.allowance = allowance;
       state.validUntil = askedAt + QUOTA_LEASE_MS;
       this.letIn(state);
@@ -147,10 +155,17 @@
     }
   }
 
-  /** One sentence on where the group stands here, for people. */
-  describe(group: string): string {
-    const state = this.groups.get(group);
+  /** Where the group stands here, to tell a refused client and the log. */
+  state(group: string): QuotaState {
     const now = this.options.clock.now();
+    return {
+      description: this.describe(group, now),
+      retryAfterSeconds: this.retryAfterSeconds(group, now),
+    };
+  }
+
+  private describe(group: string, now: number): string {
+    const state = this.groups.get(group);
     if (state === undefined || state.validUntil <= now) {
       return 'Control has granted it nothing here.';
     }
@@ -158,10 +173,8 @@
     return `It has used ${used.total(now)} of ${allowance} here, of ${offered.total(now)} asked for.`;
   }
 
-  /** Seconds after which a refused request of the group may get a permit. */
-  retryAfterSeconds(group: string): number {
+  private retryAfterSeconds(group: string, now: number): number {
     const state = this.groups.get(group);
-    const now = this.options.clock.now();
     const isGranted = state !== undefined && state.validUntil > now && state.allowance >= 1;
     return rateLimitedSeconds(isGranted ? state.used.msToNextExpiry(now) : undefined);
   }
@@ -229,7 +242,7 @@
     });
   }
 
-  private state(group: string): GroupState {
+  private stateOf(group: string): GroupState {
     const existing = this.groups.get(group);
     if (existing !== undefined) return existing;
     const windowMs = this.options.windowMs * (1 + WINDOW_MARGIN);
