--- a/src/edge/edge-server.ts
+++ b/src/edge/edge-server.ts
@@ -1,17 +1,21 @@
 /**
  * The edge: takes plain HTTP requests from outside, finds group and kind, mints the call's context
- * and sends it to a service. Read {@link EdgeServer.handle} from top to bottom.
+ * and sends it to a service. {@link EdgeServer.handle} is the list of its rules, in order.
+ *
+ * Owns the exchanges under way. Relies on the policy in force, and on the router for everything after the body.
  */
 import { hash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
-import { readRequestBody, type BodyLimits, type RequestBody } from '../http/request-body.js';
+import { bodyNotTaken, CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
 import { writeRefusal } from '../http/caller-response.js';
+import type { BodyLimits, RequestBody } from '../http/request-body.js';
 import { NodeTransport, type NodeTransportOptions } from '../http/node-transport.js';
 import type { Group, PolicyTable, RequestKind } from '../policy/policy-table.js';
 import type { CallContext } from '../call/call-context.js';
 import type { CallStats } from '../call/call-stats.js';
 import { edgeOutboundRequest, mintContext } from './mint-context.js';
+import type { OutboundCall } from '../outbound/outbound-call.js';
 import type { OutboundResult } from '../outbound/outbound-request.js';
 import type { OutboundRouter } from '../outbound/outbound-router.js';
 import { requestPath, waitPreferenceMs } from '../call/request-target.js';
@@ -38,6 +42,12 @@
 
 const BEARER_PREFIX = 'bearer ';
 const API_KEY_HEADER = 'x-api-key';
+/** Requests that are refused before they have a kind are counted under this name. */
+const UNMATCHED = 'unmatched';
+const BODY_DETAILS: Record<BodyRefusalReason, string> = {
+  'too-large': 'The request body is too large.',
+  'request-timeout': 'The request body came too slowly.',
+};
 
 /** The API key that a caller presents, or undefined. */
 function presentedKey(message: IncomingMessage): string | undefined {
@@ -58,10 +68,12 @@
     const requestId = newTraceId();
     if (this.options.stop.phase !== StopPhase.Running) response.shouldKeepAlive = false;
     const table = this.options.table();
+    // Without a policy nothing else can be looked up.
     if (table === undefined) {
       this.refuseEarly(response, requestId, 'not-ready', 'No policy has been received yet.');
       return;
     }
+    // Strangers learn nothing of the kinds that there are.
     const group = this.findGroup(table, message);
     if (group === undefined) {
       this.refuseEarly(response, requestId, 'unknown-group', 'The API key is missing or unknown.');
@@ -69,10 +81,12 @@
     }
     const path = requestPath(message.url);
     const kind = path === undefined ? undefined : table.matchKind(message.method ?? '', path);
+    // Internal kinds are for calls of targets alone.
     if (kind === undefined || kind.internal) {
       this.refuseEarly(response, requestId, 'unknown-kind', 'No kind matches method and path.');
       return;
     }
+    // Bounds memory, so it stands before anything is kept of the request.
     if (this.options.stats.inFlight >= this.options.maxInFlight) {
       this.refuseEarly(response, requestId, 'overload', 'The edge is at its limit.');
       return;
@@ -105,75 +119,67 @@
   ): void {
     const passesSoon = reason === 'overload' || reason === 'not-ready';
     const retryAfterSeconds = passesSoon ? SOON_SECONDS : NO_RETRY_AFTER;
-    this.options.stats.kind('unmatched').onRefused(reason);
+    this.options.stats.kind(UNMATCHED).onRefused(reason);
     writeRefusal(response, { reason, verdict: 'not-run', retryAfterSeconds, detail }, requestId);
   }
 }
 
 /** One request under way at the edge. */
-class EdgeExchange {
+class EdgeExchange extends CallerExchange {
   private readonly startedAt: number;
+  private call: OutboundCall | undefined;
 
   constructor(
     private readonly options: EdgeServerOptions,
-    private readonly message: IncomingMessage,
-    private readonly response: ServerResponse,
+    message: IncomingMessage,
+    response: ServerResponse,
     private readonly context: CallContext,
     private readonly kind: RequestKind,
   ) {
+    super(message, response, options.stats, kind.name);
     this.startedAt = options.clock.now();
   }
 
   start(): void {
-    const { stats, bodyLimits } = this.options;
-    stats.onStart();
-    this.response.once('close', () => stats.onFinish());
-    readRequestBody(this.message, bodyLimits, (body, fault) => {
-      if (body !== undefined) this.send(body);
-      else if (fault === 'caller-gone' || fault === undefined) this.response.destroy();
-      else this.refuse(bodyRefusal(fault));
-    });
+    this.begin();
+    this.readBody(this.options.bodyLimits);
+  }
+
+  protected override onBodyRefused(reason: BodyRefusalReason): void {
+    this.refuse(bodyNotTaken(reason, BODY_DETAILS[reason]));
   }
 
-  private send(body: RequestBody): void {
+  protected override onBody(body: RequestBody): void {
     const { router, transport } = this.options;
-    const call = router.call(
-      this.kind.service,
-      edgeOutboundRequest(this.context, this.kind),
-      new NodeTransport(transport, this.context, this.message, body, this.response),
+    const { context, kind, message, response } = this;
+    this.call = router.call(
+      kind.service,
+      edgeOutboundRequest(context, kind),
+      new NodeTransport(transport, context, message, body, response),
       (result) => this.onResult(result),
     );
-    this.response.once('close', () => {
-      if (this.response.writableFinished) return;
-      this.options.stats.kind(this.kind.name).cancelled += 1;
-      call.cancel();
-    });
+  }
+
+  protected override onClosed(isAnswered: boolean): void {
+    if (isAnswered || this.call === undefined) return;
+    this.countCancelled();
+    this.call.cancel();
   }
 
   private onResult(result: OutboundResult): void {
-    const stats = this.options.stats.kind(this.kind.name);
-    if (result.type === 'refused') {
-      this.refuse(result.refusal);
-      return;
-    }
-    if (result.type === 'broken') {
-      stats.broken += 1;
-      this.response.destroy();
-      return;
+    switch (result.type) {
+      case 'refused':
+        this.refuse(result.refusal);
+        return;
+      case 'broken':
+        this.breakOff();
+        return;
+      case 'relayed':
+        this.countRelayed(this.options.clock.now() - this.startedAt);
     }
-    stats.relayed += 1;
-    stats.onLatency(this.options.clock.now() - this.startedAt);
   }
 
   private refuse(refusal: Refusal): void {
-    this.options.stats.kind(this.kind.name).onRefused(refusal.reason);
-    writeRefusal(this.response, refusal, this.context.requestId);
+    this.writeRefusal(refusal, this.context.requestId);
   }
 }
-
-/** The refusal for a request body that was not taken. Nothing of the request was sent on. */
-function bodyRefusal(reason: 'too-large' | 'request-timeout'): Refusal {
-  const detail =
-    reason === 'too-large' ? 'The request body is too large.' : 'The request body came too slowly.';
-  return { reason, verdict: 'not-run', retryAfterSeconds: NO_RETRY_AFTER, detail };
-}
--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -1,10 +1,15 @@
-/** The inbound side of a node: takes calls from edges and other nodes for its one target. */
+/**
+ * The inbound side of a node: takes calls from edges and other nodes for its one target.
+ *
+ * Owns the exchanges under way, and the registry's entry of each. Relies on the link token to tell shoredoor's own
+ * processes from strangers, and on the gate for every decision about a call.
+ */
 import { timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { readRequestBody, type BodyLimits, type RequestBody } from '../http/request-body.js';
+import { bodyNotTaken, CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
+import type { BodyLimits, RequestBody } from '../http/request-body.js';
 import type { ClaimMessage, ClaimReply } from '../dedup/claim-messages.js';
 import { answerClaimMessage, CLAIM_MESSAGE, MESSAGE_HEADER } from '../http/claim-link.js';
-import { writeRefusal } from '../http/caller-response.js';
 import type { TargetPool } from '../http/target-pool.js';
 import { HttpTargetTransport } from '../http/target-transport.js';
 import { LOWEST_IMPORTANCE } from '../policy/importance.js';
@@ -19,7 +24,6 @@
 import type { Refusal } from '../call/refusal.js';
 import { requestPath } from '../call/request-target.js';
 import { newSpanId, newTraceId, parseTraceParent } from '../call/trace-parent.js';
-import { NO_RETRY_AFTER } from '../call/retry-after.js';
 
 /** What the inbound side is made of. */
 export interface InboundServerOptions {
@@ -40,8 +44,10 @@
 /** Kind of calls that match no declared kind. */
 export const UNKNOWN_KIND = 'unknown';
 
+/** Deadline of a call of no declared kind, in milliseconds from its arrival. Not measured. */
 const DEFAULT_DEADLINE_MS = 2_000;
 const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
+/** Longer keys are not claimed, in characters: each is remembered on three nodes. Not measured. */
 const MAX_KEY_LENGTH = 256;
 
 export class NodeInboundServer {
@@ -96,32 +102,31 @@
 }
 
 /** One call under way through the node. */
-class InboundExchange {
+class InboundExchange extends CallerExchange {
   private readonly spanId = newSpanId();
   private readonly startedAt: number;
   private call: InboundCall | undefined;
 
   constructor(
     private readonly options: InboundServerOptions,
-    private readonly message: IncomingMessage,
-    private readonly response: ServerResponse,
+    message: IncomingMessage,
+    response: ServerResponse,
     private readonly context: CallContext,
   ) {
+    super(message, response, options.stats, context.kind);
     this.startedAt = options.services.clock.now();
   }
 
   start(): void {
-    const { stats, bodyLimits } = this.options;
-    stats.onStart();
-    this.response.once('close', () => this.onClose());
-    readRequestBody(this.message, bodyLimits, (body, fault) => {
-      if (body !== undefined) this.run(body);
-      else if (fault === 'caller-gone' || fault === undefined) this.response.destroy();
-      else this.refuseBody(fault);
-    });
+    this.begin();
+    this.readBody(this.options.bodyLimits);
   }
 
-  private run(body: RequestBody): void {
+  protected override onBodyRefused(reason: BodyRefusalReason): void {
+    this.refuse(bodyNotTaken(reason), unbegunOutcome(reason, this.context.retries));
+  }
+
+  protected override onBody(body: RequestBody): void {
     const { services, targetPool, registry } = this.options;
     const transport: HttpTargetTransport = new HttpTargetTransport(
       services.clock,
@@ -147,6 +152,14 @@
     call.start();
   }
 
+  protected override onClosed(isAnswered: boolean): void {
+    if (this.call === undefined) return;
+    this.options.registry.remove(this.spanId, this.call);
+    if (isAnswered) return;
+    this.countCancelled();
+    this.call.cancel();
+  }
+
   /** The key to claim for a call that may run at most once. */
   private claimKey(): string | undefined {
     const key = this.message.headers[IDEMPOTENCY_KEY_HEADER];
@@ -158,42 +171,23 @@
     return [this.options.service, this.context.group, method, path, key].join('\n');
   }
 
-  private onClose(): void {
-    this.options.stats.onFinish();
-    if (this.call === undefined) return;
-    this.options.registry.remove(this.spanId, this.call);
-    if (this.response.writableFinished) return;
-    this.options.stats.kind(this.context.kind).cancelled += 1;
-    this.call.cancel();
-  }
-
   private onResult(call: InboundCall, result: InboundResult): void {
-    const stats = this.options.stats.kind(this.context.kind);
-    if (result.type === 'refused') {
-      const { refusal } = result;
-      this.refuse(refusal, call.takeOutcome(refusal.verdict, refusal.reason));
-      return;
+    switch (result.type) {
+      case 'refused': {
+        const { refusal } = result;
+        this.refuse(refusal, call.takeOutcome(refusal.verdict, refusal.reason));
+        return;
+      }
+      case 'broken':
+        this.breakOff();
+        return;
+      case 'relayed':
+        this.countRelayed(this.options.services.clock.now() - this.startedAt);
     }
-    if (result.type === 'broken') {
-      stats.broken += 1;
-      this.response.destroy();
-      return;
-    }
-    stats.relayed += 1;
-    stats.onLatency(this.options.services.clock.now() - this.startedAt);
-  }
-
-  private refuseBody(reason: 'too-large' | 'request-timeout'): void {
-    const detail = 'The request body was not taken.';
-    const outcome = unbegunOutcome(reason, this.context.retries);
-    this.refuse({ reason, verdict: 'not-run', retryAfterSeconds: NO_RETRY_AFTER, detail }, outcome);
   }
 
   private refuse(refusal: Refusal, outcome: Outcome): void {
-    this.options.stats.kind(this.context.kind).onRefused(refusal.reason);
-    writeRefusal(this.response, refusal, this.context.requestId, [
-      OUTCOME_HEADER,
-      formatOutcome(outcome),
-    ]);
+    const headers = [OUTCOME_HEADER, formatOutcome(outcome)];
+    this.writeRefusal(refusal, this.context.requestId, headers);
   }
 }
--- a/src/node/node-outbound-server.ts
+++ b/src/node/node-outbound-server.ts
@@ -1,11 +1,14 @@
 /**
  * The outbound side of a node: the target's own calls to other services leave through it. The
  * `Host` of a call names the service; `traceparent` names the call on whose behalf it is made.
+ *
+ * Owns the exchanges under way. Relies on the registry of the node's inbound calls, whose deadline and retries a call takes
+ * over, and on the router for everything after the body.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
-import { readRequestBody, type BodyLimits, type RequestBody } from '../http/request-body.js';
-import { writeRefusal } from '../http/caller-response.js';
+import { bodyNotTaken, CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
+import type { BodyLimits, RequestBody } from '../http/request-body.js';
 import { NodeTransport, type NodeTransportOptions } from '../http/node-transport.js';
 import { LOWEST_IMPORTANCE } from '../policy/importance.js';
 import { EMPTY_POLICY_TABLE, type PolicyTable } from '../policy/policy-table.js';
@@ -15,12 +18,13 @@
 import type { InboundCall } from '../gate/inbound-call.js';
 import type { InboundRegistry } from '../gate/inbound-registry.js';
 import { UNATTRIBUTED_GROUP, UNKNOWN_KIND } from './node-inbound-server.js';
+import type { OutboundCall } from '../outbound/outbound-call.js';
 import type { OutboundResult } from '../outbound/outbound-request.js';
 import type { OutboundRouter } from '../outbound/outbound-router.js';
 import type { Refusal } from '../call/refusal.js';
 import { requestPath } from '../call/request-target.js';
 import { newTraceId, parseTraceParent } from '../call/trace-parent.js';
-import { NO_RETRY_AFTER, SOON_SECONDS } from '../call/retry-after.js';
+import { SOON_SECONDS } from '../call/retry-after.js';
 
 /** What the outbound side is made of. */
 export interface OutboundServerOptions {
@@ -35,9 +39,18 @@
   readonly hasService: (service: string) => boolean;
 }
 
+/** Deadline of a call of no declared kind, in milliseconds from its arrival. Not measured. */
 const DEFAULT_DEADLINE_MS = 2_000;
+/** Retries for each first attempt of calls of no declared kind. Not measured. */
 const DEFAULT_RETRY_RATIO = 0.1;
 
+const UNKNOWN_SERVICE: Refusal = {
+  reason: 'unknown-service',
+  verdict: 'not-run',
+  retryAfterSeconds: SOON_SECONDS,
+  detail: 'The Host header names no service with a known target.',
+};
+
 export class NodeOutboundServer {
   constructor(private readonly options: OutboundServerOptions) {}
 
@@ -50,102 +63,79 @@
 }
 
 /** One call that the target makes. */
-class OutboundExchange {
+class OutboundExchange extends CallerExchange {
   private readonly service: string;
   private readonly context: CallContext;
   private readonly table: PolicyTable;
   private readonly path: string;
+  private call: OutboundCall | undefined;
   private nestedActive = false;
 
   constructor(
     private readonly options: OutboundServerOptions,
-    private readonly message: IncomingMessage,
-    private readonly response: ServerResponse,
+    message: IncomingMessage,
+    response: ServerResponse,
     private readonly inbound: InboundCall | undefined,
   ) {
+    const table = options.table() ?? EMPTY_POLICY_TABLE;
+    const path = requestPath(message.url) ?? '';
+    const context = inbound?.context ?? unattributedContext(options.clock, table, message, path);
+    super(message, response, options.stats, context.kind);
     this.service = (message.headers.host ?? '').split(':', 1)[0]!.toLowerCase();
-    this.table = options.table() ?? EMPTY_POLICY_TABLE;
-    this.path = requestPath(message.url) ?? '';
-    this.context = inbound?.context ?? this.unattributedContext();
+    this.table = table;
+    this.path = path;
+    this.context = context;
   }
 
   start(): void {
-    const { stats, bodyLimits, hasService } = this.options;
-    stats.onStart();
-    this.response.once('close', () => stats.onFinish());
-    if (!hasService(this.service)) {
-      const detail = 'The Host header names no service with a known target.';
-      const retryAfterSeconds = SOON_SECONDS;
-      this.refuse({ reason: 'unknown-service', verdict: 'not-run', retryAfterSeconds, detail });
-      return;
-    }
-    readRequestBody(this.message, bodyLimits, (body, fault) => {
-      if (body !== undefined) this.send(body);
-      else if (fault === 'caller-gone' || fault === undefined) this.response.destroy();
-      else {
-        const detail = 'The request body was not taken.';
-        this.refuse({
-          reason: fault,
-          verdict: 'not-run',
-          retryAfterSeconds: NO_RETRY_AFTER,
-          detail,
-        });
-      }
-    });
+    const { bodyLimits, hasService } = this.options;
+    this.begin();
+    if (hasService(this.service)) this.readBody(bodyLimits);
+    else this.refuse(UNKNOWN_SERVICE);
   }
 
-  /** The context of a call that cannot be tied to an inbound call: served, but never retried. */
-  private unattributedContext(): CallContext {
-    const kind = this.table.matchKind(this.message.method ?? '', this.path);
-    return {
-      requestId: newTraceId(),
-      group: UNATTRIBUTED_GROUP,
-      kind: kind?.name ?? UNKNOWN_KIND,
-      importance: kind?.importance ?? LOWEST_IMPORTANCE,
-      deadlineAt: this.options.clock.now() + (kind?.deadlineMs ?? DEFAULT_DEADLINE_MS),
-      retries: 0,
-    };
+  protected override onBodyRefused(reason: BodyRefusalReason): void {
+    this.refuse(bodyNotTaken(reason));
   }
 
-  private send(body: RequestBody): void {
+  protected override onBody(body: RequestBody): void {
     const { router, transport } = this.options;
-    const { context, inbound } = this;
-    const kind = this.table.kind(context.kind);
+    const { context, inbound, table, service, message } = this;
     this.beginNested();
-    const call = router.call(
-      this.service,
+    this.call = router.call(
+      service,
       {
-        trafficClass: `${this.service}/${context.kind}/${context.group}`,
-        repeatable: this.table.isRepeatable(this.service, this.message.method ?? '', this.path),
+        trafficClass: `${service}/${context.kind}/${context.group}`,
+        repeatable: table.isRepeatable(service, message.method ?? '', this.path),
         deadlineAt: context.deadlineAt,
-        retryRatio: kind?.retryRatio ?? DEFAULT_RETRY_RATIO,
+        retryRatio: table.kind(context.kind)?.retryRatio ?? DEFAULT_RETRY_RATIO,
         allowance: inbound?.allowance ?? new RetryAllowance(0),
       },
-      new NodeTransport(transport, context, this.message, body, this.response),
+      new NodeTransport(transport, context, message, body, this.response),
       (result) => this.onResult(result),
     );
-    this.response.once('close', () => {
-      if (this.response.writableFinished) return;
-      this.options.stats.kind(context.kind).cancelled += 1;
-      this.endNested(false);
-      call.cancel();
-    });
+  }
+
+  protected override onClosed(isAnswered: boolean): void {
+    if (isAnswered || this.call === undefined) return;
+    this.countCancelled();
+    this.endNested(false);
+    this.call.cancel();
   }
 
   private onResult(result: OutboundResult): void {
-    const stats = this.options.stats.kind(this.context.kind);
-    const overloaded = result.type !== 'broken' && result.overloaded;
-    this.endNested(overloaded);
-    if (result.type === 'refused') {
-      this.refuse(result.refusal);
-      return;
+    this.endNested(result.type !== 'broken' && result.overloaded);
+    switch (result.type) {
+      case 'refused':
+        this.refuse(result.refusal);
+        return;
+      case 'broken':
+        this.breakOff();
+        return;
+      case 'relayed':
+        // No latency: the node of the callee counts it.
+        this.countRelayed(undefined);
     }
-    if (result.type === 'broken') {
-      stats.broken += 1;
-      this.response.destroy();
-      return;
-    }
-    stats.relayed += 1;
   }
 
   private beginNested(): void {
@@ -160,7 +150,24 @@
   }
 
   private refuse(refusal: Refusal): void {
-    this.options.stats.kind(this.context.kind).onRefused(refusal.reason);
-    writeRefusal(this.response, refusal, this.context.requestId);
+    this.writeRefusal(refusal, this.context.requestId);
   }
 }
+
+/** The context of a call that cannot be tied to an inbound call: served, but never retried. */
+function unattributedContext(
+  clock: Clock,
+  table: PolicyTable,
+  message: IncomingMessage,
+  path: string,
+): CallContext {
+  const kind = table.matchKind(message.method ?? '', path);
+  return {
+    requestId: newTraceId(),
+    group: UNATTRIBUTED_GROUP,
+    kind: kind?.name ?? UNKNOWN_KIND,
+    importance: kind?.importance ?? LOWEST_IMPORTANCE,
+    deadlineAt: clock.now() + (kind?.deadlineMs ?? DEFAULT_DEADLINE_MS),
+    retries: 0,
+  };
+}
