--- a/src/call/call-context.ts
+++ b/src/call/call-context.ts
@@ -1,40 +1,74 @@
 /**
- * Who a call belongs to and what it may still do. Minted at the edge, carried between shoredoor's
- * own processes in one header, and kept at the node while the target works on the call, so that the
- * target cannot change it.
+ * Who a call belongs to and what it may still do. Made where a request enters, carried between shoredoor's own processes,
+ * and kept beside the target while that works on the call, so that the target cannot change it. Between edges and nodes it
+ * is one header, which is written and read here; between sidecars it is part of a frame (`link/frame-context.ts`).
+ *
+ * Owns the names of shoredoor's own headers. Relies on the link token: a context from elsewhere is never read.
  */
 import { parseImportance, type Importance } from '../policy/importance.js';
 
-/** The identity and the limits of one call at one process. */
-export interface CallContext {
-  /** 32 hexadecimal digits, the trace id of the W3C trace context. One per outside request. */
+/**
+ * The identity and the limits of one call at one process, on both data paths. An edge, or a node for calls without a context,
+ * makes it from the policy's kinds; an ingress makes it from routes.
+ */
+interface CallLimits {
+  /**
+   * Names the request in logs, one for all its attempts. On the path of edge and node: 32 hexadecimal digits, the trace id
+   * of the W3C trace context, made by the edge. In a sidecar: as the client named it, in a header that may be empty.
+   */
   readonly requestId: string;
+  /**
+   * Name of the group whose key the outside caller presented. Where none was needed `default` at an ingress, and for calls
+   * without a context `unattributed` at a node.
+   */
   readonly group: string;
-  /** Name of the kind of the outside request. */
+  /**
+   * On the path of edge and node: name of the policy's kind that the outside request matched. In a sidecar: name of the
+   * route that the call matched at its ingress, with characters replaced that a header may not hold. Counters, log lines and
+   * the limits of a gate go by it.
+   */
   readonly kind: string;
+  /** Order in which calls wait at a gate, the highest first. Set from the kind, or from the rank of the route. */
   readonly importance: Importance;
-  /** Local monotonic time in milliseconds after which an answer is of no use. */
+  /** Local monotonic time in milliseconds after which an answer is of no use. Set where the context is made. */
   readonly deadlineAt: number;
-  /** Retries lent to this call, for itself and everything below it. */
+  /** Retries lent to this call, for itself and everything below it. A number of attempts. */
   readonly retries: number;
-  /** Service that the call was routed to, where a route decided it. */
+}
+
+/** What only the ingress and the gate of a sidecar set and read. Absent on the path of edge and node. */
+interface SidecarCallFields {
+  /** Service that runs the call. Set by the ingress, which draws it from the route's backends. */
   readonly service?: string | undefined;
-  /** Local monotonic time in milliseconds until which it may wait to be let in; no bound if absent. */
+  /**
+   * Local monotonic time in milliseconds until which it may wait to be let in; no bound if absent. Set by the ingress, as a
+   * part of the objective.
+   */
   readonly waitUntil?: number | undefined;
-  /** Time in milliseconds within which an answer is worth its full credit, where a route says it. */
+  /** Time in milliseconds within which an answer is worth its full credit. Set by the ingress, from the route. */
   readonly objectiveMs?: number | undefined;
-  /** Whether an earlier attempt of the call may have arrived at a target. Default false. */
+  /** Whether an earlier attempt of the call may have arrived at a target. Set by the gate, from its caller. Default false. */
   readonly isRepeat?: boolean | undefined;
-  /** How likely a run that was itself a repeat has made the call, 0 to 1. Default 0. */
+  /** How likely a run that was itself a repeat has made the call, 0 to 1. Set by the ingress. Default 0. */
   readonly inheritedShare?: number | undefined;
-  /** Time in milliseconds before the deadline at which the target is to stop, so that its own answer arrives. Default 0. */
-  readonly answerMarginMs?: number | undefined;
-  /** Names the request whenever it comes again; empty or absent where it is not known. */
+  /** Names the request whenever it comes again; set by the ingress once the body is read. Empty or absent before. */
   readonly fingerprint?: string | undefined;
-  /** Rank of the group, 0 the most urgent; comes before the importance of the kind. Default 0. */
+  /**
+   * Rank of the group, 0 the most urgent; comes before the importance, which counts the other way. Set by the ingress, from
+   * the declared group. Default 0.
+   */
   readonly groupRank?: number | undefined;
 }
 
+/** A call at one process. */
+export interface CallContext extends CallLimits, SidecarCallFields {
+  /**
+   * Time in milliseconds before the deadline at which the target is to stop, so that its own answer arrives. Set by
+   * {@link boundedByStop} in a process that stops; an edge sets it too, and only gates of sidecars read it. Default 0.
+   */
+  readonly answerMarginMs?: number | undefined;
+}
+
 /** Request header between shoredoor processes: identity, remaining time and retries. */
 export const CONTEXT_HEADER = 'shoredoor-context';
 /** Request header that proves that the sender is a shoredoor process of this deployment. */
@@ -48,8 +82,13 @@
 /** Response header to callers: the request id, for logs and support. */
 export const REQUEST_ID_HEADER = 'shoredoor-request-id';
 
+/** Fields of a header that are read; this version writes seven at most. Bounds the work on a foreign one. Not measured. */
 const MAX_FIELD_COUNT = 12;
+/** Names of groups, kinds and services that a header can hold. */
 const NAME_SYNTAX = /^[A-Za-z0-9][\w.-]{0,199}$/;
+/** Longest such name, in characters; as in {@link NAME_SYNTAX}. */
+const MAX_NAME_LENGTH = 200;
+/** Whole numbers of at most nine digits: 11 days in milliseconds. */
 const NUMBER_SYNTAX = /^\d{1,9}$/;
 
 /**
@@ -86,10 +125,10 @@
   return text;
 }
 
-/** A name as it can stand in {@link CONTEXT_HEADER}. */
-export function contextName(name: string): string {
+/** A name with every character replaced that {@link CONTEXT_HEADER} can't hold. */
+export function headerSafeName(name: string): string {
   const safe = name.replace(/[^\w.-]/g, '_');
-  return NAME_SYNTAX.test(safe) ? safe : `x${safe}`.slice(0, 200);
+  return NAME_SYNTAX.test(safe) ? safe : `x${safe}`.slice(0, MAX_NAME_LENGTH);
 }
 
 /**
--- a/src/call/call-durations.ts
+++ b/src/call/call-durations.ts
@@ -1,11 +1,13 @@
 /**
  * How long the latest calls of each kind took, so that a process that is about to end can tell which calls it would
- * not finish any more. Pure.
+ * not finish any more ({@link ingressTakes}, {@link gateTakes}). For both sides of a sidecar, each with its own.
+ *
+ * Owns the latest durations by kind; relies on being told of each whole answer. Pure.
  */
 
-/** Calls of a kind that are remembered. */
+/** Calls of a kind that are remembered: enough for a 0.95 quantile, few enough to follow a change. Not measured. */
 const REMEMBERED = 64;
-/** Kinds that are remembered; routes come and go with the configuration. */
+/** Kinds that are remembered, to bound memory: routes come and go with the configuration. Beyond it all are forgotten. Not measured. */
 const MAX_KINDS = 500;
 
 /** The latest durations of one kind, the oldest overwritten first. */
--- a/src/call/call-stats.ts
+++ b/src/call/call-stats.ts
@@ -1,10 +1,15 @@
-/** Plain counters of one process's calls. Metrics read them when they are scraped. */
+/**
+ * Plain counters of the calls of one side of a process: the outbound side of a sidecar counts by route, all others by kind.
+ *
+ * Owns the counts, and who waits for the side to be idle. Relies on one {@link CallStats.onFinish} for each
+ * {@link CallStats.onStart}. Metrics read it when they are scraped.
+ */
 import type { RefusalReason } from './refusal.js';
 
-/** Upper bounds in milliseconds of the latency histogram. */
+/** Upper bounds in milliseconds of the latency histogram; part of the metrics' labels. */
 export const LATENCY_BOUNDS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000] as const;
 
-/** Counts of one kind of request. */
+/** Counts of one kind or route. */
 export class KindStats {
   relayed = 0;
   broken = 0;
@@ -26,7 +31,7 @@
   }
 }
 
-/** Most kinds that are counted separately; the rest share one entry. */
+/** Most kinds that are counted separately, to bound memory and the size of a scrape; the rest share one entry. Not measured. */
 const MAX_KINDS = 1_000;
 const OTHER_KIND = 'other';
 
--- a/src/call/endpoint.ts
+++ b/src/call/endpoint.ts
@@ -1,4 +1,7 @@
-/** Where calls to a service can be sent, as the directory knows it and as the caller sees it. */
+/**
+ * Where calls to a service can be sent, as the directory knows it and as the caller sees it. For routing, membership and
+ * outgoing calls, on both data paths: a node here is also the sidecar beside a target. Types alone.
+ */
 
 /** What is known of a node's life. `leaving` nodes get no new calls. */
 export type EndpointState = 'ready' | 'leaving';
--- a/src/call/outcome.ts
+++ b/src/call/outcome.ts
@@ -1,6 +1,9 @@
 /**
- * What a node tells the process that called it about a call, in the `shoredoor-outcome` response
- * header: the verdict, the unspent retries, and how loaded it is.
+ * What the process beside a target tells its caller about a call: the verdict, the unspent retries, and how loaded it is.
+ * Nodes tell it in the `shoredoor-outcome` response header, which is written and read here; sidecars in a frame, with the
+ * fields besides that are marked so.
+ *
+ * Owns nothing. Relies on the link between shoredoor's own processes: a target's own header of this name is dropped.
  */
 import { isVerdict, type Verdict } from '../common/verdict.js';
 import { numberField, parseFields } from './call-context.js';
@@ -13,7 +16,7 @@
   readonly inFlight: number;
   /** Current concurrency limit of the node. */
   readonly limit: number;
-  /** Which repeats the node would let through to its target now. Default: all. */
+  /** Which repeats the gate would let through to its target now. Told by sidecars. Default: all. */
   readonly repeatRoom?: RepeatRoom;
 }
 
@@ -36,11 +39,11 @@
   readonly overloaded: boolean;
   /** Part of the calls there and below that are held up, 0 to 1. Told by sidecars. */
   readonly congestion?: number;
-  /** Whether targets make the calls of this kind, and not clients. Default false. */
+  /** Whether targets make the calls of this kind, and not clients. Told by sidecars. Default false. */
   readonly nested?: boolean;
   /**
    * Whether the target itself turned the call away: it arrived there, so sending it to another target
-   * counts as a retry. Default false.
+   * counts as a retry. Told by sidecars. Default false.
    */
   readonly rejectedByTarget?: boolean;
   /** Set where a crash of the target, or the fear of one, decided the call. Told by sidecars. */
--- a/src/call/refusal.ts
+++ b/src/call/refusal.ts
@@ -1,6 +1,9 @@
 /**
  * Answers that shoredoor gives itself instead of a back end. Typed results, not errors: a refusal
  * is the hottest path under overload.
+ *
+ * For every side that answers a caller. Owns the reasons, with the status and title of each; relies on the places that
+ * refuse for the verdict. The reasons are also words of log lines, metrics and the outcome header.
  */
 import { HttpStatus } from '../common/http-status.js';
 import type { Verdict } from '../common/verdict.js';
--- a/src/call/request-journal.ts
+++ b/src/call/request-journal.ts
@@ -1,16 +1,20 @@
 /**
- * The log lines of single requests, bounded: failed and refused ones are logged up to a number a
- * second, and a line says how many were left out.
+ * The log lines of single requests, bounded: failed and refused ones are logged up to a number a second, and a line says
+ * how many were left out. For both sides of a sidecar, which share the bound; edges and nodes do not log single requests.
+ *
+ * Owns the count of lines in the present second. Relies on its callers for the reason and the detail of each refusal.
  */
 import type { Clock } from '../common/clock.js';
+import { MS_PER_SECOND } from '../common/units.js';
 import type { Verdict } from '../common/verdict.js';
 import type { Logger } from '../common/logger.js';
 import type { CallContext } from './call-context.js';
 import type { Refusal } from './refusal.js';
 
-/** Lines of one process in one second. */
+/** Lines of one process in one second: logging must not slow down the refusals of an overload. Not measured. */
 const MAX_LINES_PER_SECOND = 20;
-const WINDOW_MS = 1_000;
+/** That second, in milliseconds. */
+const WINDOW_MS = MS_PER_SECOND;
 
 /** How an ingress request ended, for its line. */
 export interface IngressRecord {
@@ -19,6 +23,7 @@
   readonly service: string;
   /** Revision of the configuration that decided. */
   readonly revision: number;
+  /** Milliseconds since the request arrived. */
   readonly heldMs: number;
   /** Nodes that the request was sent to, in order. */
   readonly attempts: readonly string[];
--- a/src/call/stop-phase.ts
+++ b/src/call/stop-phase.ts
@@ -1,4 +1,9 @@
-/** How far the planned stop of a process has come, and how much time it leaves for work. Pure. */
+/**
+ * How far the planned stop of a process has come, and how much time it leaves for work. For edges and sidecars: programs
+ * begin the stop and move its phase, whoever takes work asks.
+ *
+ * Owns the phase and the times of the one stop of a process; relies on a clock that goes on while the machine is suspended.
+ */
 import type { Clock } from '../common/clock.js';
 
 export enum StopPhase {
@@ -11,12 +16,15 @@
   Ending,
 }
 
-/** Parts of the time until a stopping process is killed at which its phases end. */
+/**
+ * Parts of the time until a stopping process is killed at which its phases end. Longer draining serves more new calls, and
+ * leaves less time to those under way. docs/design/platform.md tells what was weighed; the values are not measured.
+ */
 const DRAIN_PART = 0.42;
 const ANSWER_PART = 0.9;
-/** The rest is for connections to close and for the process to end, on a machine that is busy. */
+/** The rest is for connections to close and for the process to end, on a machine that is busy. Not measured. */
 const END_PART = 0.93;
-/** Part of a declared time for calls to finish at which their answers have to be there. */
+/** Part of a declared time for calls to finish at which their answers have to be there. Not measured. */
 const DECLARED_ANSWER_PART = 0.95;
 
 /** How long the phases of a stop may take, in milliseconds from its beginning. */
--- a/src/call/stop-policy.ts
+++ b/src/call/stop-policy.ts
@@ -1,4 +1,9 @@
-/** Which work a stopping process still takes, and how long it may last. Pure. */
+/**
+ * Which work a stopping process still takes, and how long it may last. The rule `leaving` of an ingress, of a gate and of
+ * what an edge sends.
+ *
+ * Owns nothing; pure. Relies on the progress of the stop and on how long calls of the kind have taken here.
+ */
 import type { CallContext } from './call-context.js';
 import type { CallDurations } from './call-durations.js';
 import { StopPhase, type StopProgress } from './stop-phase.js';
@@ -6,24 +11,26 @@
 /**
  * Part of the latest calls of a kind that must have been over within the time left. A call that is refused can go to
  * another process at no cost, so a gate, and an ingress whose request may run only once, take what is nearly sure.
+ * The value is not measured.
  */
 const NEARLY_SURE_PART = 0.95;
 /**
  * For requests that may be repeated: to refuse one costs its caller as much as to lose it, and the work of the run
- * besides, where a target makes it.
+ * besides, where a target makes it. The value is not measured.
  */
 const PROBABLE_PART = 0.75;
 
 /**
  * A target is told to stop this long before the last moment for its answer, so that its own answer still gets there.
- * A tenth of a second is many times what an answer takes between machines.
+ * A tenth of a second is many times what an answer takes between machines; not measured.
  */
 const ANSWER_MARGIN_MS = 100;
-/** Part of a short time left that is kept for the answer. */
+/** Most that is kept for the answer, as a part of the time left. Not measured. */
 const MAX_ANSWER_MARGIN_PART = 0.5;
 
 /** A request that an ingress may take. */
 export interface StoppingRequest {
+  /** Name of its route. */
   readonly kind: string;
   readonly repeatable: boolean;
   /** Whether the target of this machine makes it for a run. */
--- a/src/call/trace-parent.ts
+++ b/src/call/trace-parent.ts
@@ -1,4 +1,9 @@
-/** The `traceparent` header of the W3C Trace Context recommendation, section 3.2. */
+/**
+ * The `traceparent` header of the W3C Trace Context recommendation, section 3.2. For edges and nodes, which tie the calls
+ * of a target to the call that it works on; sidecars tie them by no header.
+ *
+ * Owns a stock of random bytes; relies on the system's random source.
+ */
 import { randomFillSync } from 'node:crypto';
 
 /** Trace id and parent id of a `traceparent` header. */
@@ -29,6 +34,7 @@
   return `00-${parent.traceId}-${parent.spanId}-01`;
 }
 
+/** Random bytes that are drawn at once: one draw serves some 170 calls. Not measured. */
 const POOL_BYTES = 4096;
 const pool = Buffer.alloc(POOL_BYTES);
 let poolOffset = POOL_BYTES;
--- a/src/call/transport.ts
+++ b/src/call/transport.ts
@@ -1,6 +1,6 @@
 /**
- * What the call modules need from below: sending one attempt and hearing how it goes. Sockets
- * implement it in the programs, virtual links in the simulator.
+ * What an outgoing call and a gate need from below: sending one attempt and hearing how it goes. `http` and `link` implement
+ * it with sockets, the simulator with virtual links. Types alone.
  */
 import type { EndpointRecord } from './endpoint.js';
 import type { Outcome } from './outcome.js';
--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -7,7 +7,7 @@
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import { contextName, type CallContext } from '../call/call-context.js';
+import { headerSafeName, type CallContext } from '../call/call-context.js';
 import type { OutboundRequest } from '../outbound/outbound-request.js';
 
 /** Group of requests without a key. */
@@ -41,7 +41,8 @@
     requestId,
     group: arrival.group?.name ?? DEFAULT_GROUP,
     groupRank: arrival.group?.rank ?? 0,
-    kind: contextName(route.name),
+    // A gate knows calls by kinds: in a sidecar the route is the kind.
+    kind: headerSafeName(route.name),
     importance: route.importance,
     deadlineAt: arrivedAt + Math.min(clientTimeoutMs, route.timeoutMs),
     retries: route.maxTargets - 1,
