--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-policy.ts
@@ -10,13 +10,24 @@
 import { headerSafeName, type CallContext } from '../call/call-context.js';
 import type { OutboundRequest } from '../outbound/outbound-request.js';
 
-/** Group of requests without a key. */
+/** Group of requests that need no key. */
 const DEFAULT_GROUP = 'default';
-/** Part of its objective that a request may wait to be let in: refused then, it can be sent again. */
+/**
+ * Part of its objective that a request may wait at a gate to be let in: longer, a refused one could not be sent again within
+ * its objective; shorter, more are refused in a short surge. Not measured.
+ */
 const WAIT_FRACTION = 0.25;
-/** An answer that takes this multiple of the usual time is taken for lost. */
+/**
+ * An answer that takes this multiple of the traffic class's usual time is taken for lost, and a hedged request is sent: less
+ * repeats slow answers, more finds a lost one too late. docs/rounds/order-mesh.md has the simulation without hedged requests,
+ * in which no answer is lost; other multiples are not measured.
+ */
 const HEDGE_DELAY_FACTOR = 6;
-/** Targets that are tried after one has refused for overload. */
+/**
+ * Targets that are tried after one has refused for overload: each costs the caller the time of a refusal, and finds a target
+ * of unlike load. Worth nothing in the simulation of docs/rounds/order-mesh.md, where all targets are alike; 2 and more are
+ * not measured.
+ */
 const OVERLOAD_REROUTES = 1;
 
 /** What a request brings besides its route. */
