--- a/lab/simulator/quota/quota-ways.ts
+++ b/lab/simulator/quota/quota-ways.ts
@@ -5,7 +5,7 @@
 import type { PermitListener } from '../../../src/quota/ingress-quota.js';
 import { QuotaLedger, type QuotaLedgerOptions } from '../../../src/quota/quota-ledger.js';
 import type { QuotaGrants, QuotaReport } from '../../../src/quota/quota-messages.js';
-import { SlidingCount } from '../../../src/quota/sliding-count.js';
+import { SlidingCount } from '../../../src/common/sliding-count.js';
 
 /** Names of the ways. */
 export type QuotaWayName = 'leases' | 'equal-parts' | 'proportional';
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -1,17 +1,23 @@
 /**
  * Bounds at one ingress how many requests of each group run in a window: by what a leader of control has granted it, which
- * all ingresses together keep within the quota of the group. Pure.
+ * all ingresses together keep within the quota of the group.
+ *
+ * Owns the groups with their permits, and the requests that wait for one. Relies on reports being sent with heartbeats and
+ * when {@link IngressQuotaOptions.onShort} asks for one, and on {@link QuotaLedger} to keep the sum of all grants within the
+ * quota. Pure: clock and messages come in.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { Group } from '../policy/group-table.js';
+import { GroupAsking, SharedAsking } from './asking-schedule.js';
+import { GroupQuota, NOTHING_GRANTED, type QuotaPermit, type QuotaState } from './group-quota.js';
 import {
   QUOTA_LEASE_MS,
   type GroupUse,
   type QuotaGrants,
   type QuotaReport,
 } from './quota-messages.js';
-import { SlidingCount } from './sliding-count.js';
-import { rateLimitedSeconds } from '../call/retry-after.js';
+
+export type { QuotaPermit, QuotaState } from './group-quota.js';
 
 /** What the quota of an ingress is made of. */
 export interface IngressQuotaOptions {
@@ -23,40 +29,12 @@
   readonly onShort: () => void;
 }
 
-/** Lets one request run within the quota of its group. */
-export interface QuotaPermit {
-  /** The request has surely not run: another one may run in its place. */
-  release(): void;
-}
-
-/** Where a group stands at this ingress. */
-export interface QuotaState {
-  /** One sentence on what the group has used, may use and has asked for. */
-  readonly description: string;
-  /** Seconds after which a refused request of the group may get a permit. */
-  readonly retryAfterSeconds: number;
-}
-
 /** Hears whether a request may run; undefined where it may not. */
 export type PermitListener = (permit: QuotaPermit | undefined) => void;
 
-/**
- * The window that is counted is longer by this part: requests run a little later than they are counted, up to the wait
- * at a gate.
- */
-const WINDOW_MARGIN = 0.02;
-/**
- * Control is asked for more of a group at most this often, in milliseconds; the time doubles while the answers bring no
- * permit, up to about that between heartbeats.
- */
-const MIN_ASK_INTERVAL_MS = 50;
-const MAX_ASK_INTERVAL_MS = 800;
-/** Reports of an ingress that runs short of several groups are this far apart at least, in milliseconds. */
-const MIN_GAP_MS = 20;
-/** Asked less often than this for a group, control has no more to grant: its requests are refused at once. */
-const EXHAUSTED_INTERVAL_MS = 400;
-/** Groups that are remembered without a request in the last window. */
+/** Groups that are remembered without a request in the last window, to bound memory. Not measured. */
 const MAX_IDLE_GROUPS = 1_000;
+
 /** A request that waits for a permit. */
 interface Waiter {
   readonly timer: Timer;
@@ -64,18 +42,11 @@
 }
 
 /** One group at this ingress. */
-interface GroupState {
-  /** Requests in a window that may run, until {@link validUntil}. */
-  allowance: number;
-  /** Monotonic milliseconds. */
-  validUntil: number;
-  readonly used: SlidingCount;
-  /** Refused requests included. */
-  readonly offered: SlidingCount;
+interface GroupEntry {
+  readonly quota: GroupQuota;
+  readonly asking: GroupAsking;
+  /** In the order in which they came. */
   waiters: Waiter[];
-  /** When control was last asked for more, and how long it is not asked again, in milliseconds. */
-  askedAt: number;
-  askIntervalMs: number;
 }
 
 const UNLIMITED: QuotaPermit = {
@@ -85,15 +56,19 @@
 };
 
 export class IngressQuota {
-  private readonly groups = new Map<string, GroupState>();
+  private readonly groups = new Map<string, GroupEntry>();
+  private readonly sharedAsking: SharedAsking;
+  /** Newest report whose answer was adopted, and the newest that was sent. */
   private adopted = 0;
   private sequence = 0;
-  private askedAt = -Infinity;
-  private isAskDue = false;
   private readonly createdAt: number;
+  private readonly now: () => number;
 
   constructor(private readonly options: IngressQuotaOptions) {
-    this.createdAt = options.clock.now();
+    const { clock, onShort } = options;
+    this.now = () => clock.now();
+    this.createdAt = clock.now();
+    this.sharedAsking = new SharedAsking(clock, onShort);
   }
 
   /**
@@ -105,35 +80,26 @@
       listener(UNLIMITED);
       return;
     }
-    const { clock } = this.options;
-    const state = this.stateOf(name);
-    const now = clock.now();
-    state.offered.add(now);
-    const permit = this.tryAcquire(state, now);
+    const entry = this.entry(name);
+    const now = this.now();
+    entry.quota.onOffered(now);
+    const permit = this.tryAcquire(entry);
     if (permit !== undefined) {
-      state.askIntervalMs = MIN_ASK_INTERVAL_MS;
       listener(permit);
       return;
     }
-    this.askForMore(state, now);
-    if (state.askIntervalMs > EXHAUSTED_INTERVAL_MS) {
-      listener(undefined);
-      return;
-    }
-    const timer = clock.schedule(maxWaitMs, () => this.giveUp(state, waiter));
-    const waiter: Waiter = { timer, listener };
-    state.waiters.push(waiter);
+    this.askForMore(entry, now);
+    if (entry.asking.isExhausted) listener(undefined);
+    else this.wait(entry, maxWaitMs, listener);
   }
 
   /** What to tell control. */
   report(): QuotaReport {
-    const now = this.options.clock.now();
+    const now = this.now();
     const uses: GroupUse[] = [];
-    for (const [group, state] of this.groups) {
-      const used = state.used.total(now);
-      const offered = state.offered.total(now);
-      const held = state.validUntil > now ? state.allowance : 0;
-      if (offered > 0 || used > 0 || held > 0) uses.push({ group, used, offered, held });
+    for (const [group, { quota }] of this.groups) {
+      const use = quota.use(group, now);
+      if (use.offered > 0 || use.used > 0 || use.held > 0) uses.push(use);
       else if (this.groups.size > MAX_IDLE_GROUPS) this.groups.delete(group);
     }
     this.sequence += 1;
@@ -147,114 +113,59 @@
     if (sequence <= this.adopted) return;
     this.adopted = sequence;
     for (const { group, allowance } of grants) {
-      const state = this.stateOf(group);
-      state.allowance = allowance;
-      state.validUntil = askedAt + QUOTA_LEASE_MS;
-      this.letIn(state);
-      if (state.waiters.length > 0) this.askAgain(state);
+      const entry = this.entry(group);
+      entry.quota.onGrant(allowance, askedAt + QUOTA_LEASE_MS);
+      this.letIn(entry);
+      if (entry.waiters.length > 0) this.askAgain(entry);
     }
   }
 
-  /** Where the group stands here, to tell a refused client and the log. */
+  /** Where the group stands here. */
   state(group: string): QuotaState {
-    const now = this.options.clock.now();
-    return {
-      description: this.describe(group, now),
-      retryAfterSeconds: this.retryAfterSeconds(group, now),
-    };
+    return this.groups.get(group)?.quota.state(this.now()) ?? NOTHING_GRANTED;
   }
 
-  private describe(group: string, now: number): string {
-    const state = this.groups.get(group);
-    if (state === undefined || state.validUntil <= now) {
-      return 'Control has granted it nothing here.';
-    }
-    const { used, offered, allowance } = state;
-    return `It has used ${used.total(now)} of ${allowance} here, of ${offered.total(now)} asked for.`;
-  }
-
-  private retryAfterSeconds(group: string, now: number): number {
-    const state = this.groups.get(group);
-    const isGranted = state !== undefined && state.validUntil > now && state.allowance >= 1;
-    return rateLimitedSeconds(isGranted ? state.used.msToNextExpiry(now) : undefined);
+  private tryAcquire({ quota, asking }: GroupEntry): QuotaPermit | undefined {
+    const permit = quota.tryAcquire(this.now);
+    if (permit !== undefined) asking.onPermit();
+    return permit;
   }
 
-  private tryAcquire(state: GroupState, now: number): QuotaPermit | undefined {
-    const allowance = state.validUntil > now ? state.allowance : 0;
-    if (state.used.total(now) + 1 > allowance) return undefined;
-    const step = state.used.add(now);
-    let isTaken = true;
-    return {
-      release: () => {
-        if (isTaken) state.used.remove(step, this.options.clock.now());
-        isTaken = false;
-      },
-    };
+  private wait(entry: GroupEntry, maxWaitMs: number, listener: PermitListener): void {
+    const timer = this.options.clock.schedule(maxWaitMs, () => {
+      entry.waiters = entry.waiters.filter((other) => other !== waiter);
+      listener(undefined);
+    });
+    const waiter: Waiter = { timer, listener };
+    entry.waiters.push(waiter);
   }
 
-  private letIn(state: GroupState): void {
-    const now = this.options.clock.now();
-    while (state.waiters.length > 0) {
-      const permit = this.tryAcquire(state, now);
+  private letIn(entry: GroupEntry): void {
+    while (entry.waiters.length > 0) {
+      const permit = this.tryAcquire(entry);
       if (permit === undefined) return;
-      state.askIntervalMs = MIN_ASK_INTERVAL_MS;
-      const { timer, listener } = state.waiters.shift()!;
+      const { timer, listener } = entry.waiters.shift()!;
       timer.cancel();
       listener(permit);
     }
   }
 
-  private giveUp(state: GroupState, waiter: Waiter): void {
-    state.waiters = state.waiters.filter((other) => other !== waiter);
-    waiter.listener(undefined);
-  }
-
   /** A surge was larger when it was granted than when control was asked: the rest of it need not wait in vain. */
-  private askAgain(state: GroupState): void {
-    const { clock } = this.options;
-    const waitMs = Math.max(0, state.askedAt + state.askIntervalMs - clock.now());
-    clock.schedule(waitMs, () => {
-      if (state.waiters.length > 0) this.askForMore(state, clock.now());
+  private askAgain(entry: GroupEntry): void {
+    this.options.clock.schedule(entry.asking.msToNext(this.now()), () => {
+      if (entry.waiters.length > 0) this.askForMore(entry, this.now());
     });
   }
 
-  private askForMore(state: GroupState, now: number): void {
-    if (now - state.askedAt < state.askIntervalMs) return;
-    state.askedAt = now;
-    state.askIntervalMs = Math.min(MAX_ASK_INTERVAL_MS, 2 * state.askIntervalMs);
-    this.ask(now);
-  }
-
-  /** One report tells of all groups: those that run short within a moment share it. */
-  private ask(now: number): void {
-    if (this.isAskDue) return;
-    const waitMs = this.askedAt + MIN_GAP_MS - now;
-    if (waitMs <= 0) {
-      this.askedAt = now;
-      this.options.onShort();
-      return;
-    }
-    this.isAskDue = true;
-    const { clock } = this.options;
-    clock.schedule(waitMs, () => {
-      this.isAskDue = false;
-      this.ask(clock.now());
-    });
+  private askForMore({ asking }: GroupEntry, now: number): void {
+    if (asking.tryAsk(now)) this.sharedAsking.request(now);
   }
 
-  private stateOf(group: string): GroupState {
+  private entry(group: string): GroupEntry {
     const existing = this.groups.get(group);
     if (existing !== undefined) return existing;
-    const windowMs = this.options.windowMs * (1 + WINDOW_MARGIN);
-    const created: GroupState = {
-      allowance: 0,
-      validUntil: -Infinity,
-      used: new SlidingCount(windowMs),
-      offered: new SlidingCount(windowMs),
-      waiters: [],
-      askedAt: -Infinity,
-      askIntervalMs: MIN_ASK_INTERVAL_MS,
-    };
+    const quota = new GroupQuota(this.options.windowMs);
+    const created: GroupEntry = { quota, asking: new GroupAsking(), waiters: [] };
     this.groups.set(group, created);
     return created;
   }
--- a/test/quota/quota.test.ts
+++ b/test/quota/quota.test.ts
@@ -6,7 +6,7 @@
   type QuotaRun,
 } from '../../lab/simulator/quota/quota-world.js';
 import { DEFAULT_QUOTA_RULE } from '../../src/quota/quota-rule.js';
-import { SlidingCount } from '../../src/quota/sliding-count.js';
+import { SlidingCount } from '../../src/common/sliding-count.js';
 
 const SEEDS_UNDER_FAULTS = 60;
 const CALM_SEEDS = 5;
