--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -17,7 +17,7 @@
 } from '../../../src/gate/gate-policy.js';
 import { InboundCall } from '../../../src/gate/inbound-call.js';
 import type { InboundServices } from '../../../src/gate/inbound-services.js';
-import { ingressContext, ingressRequest } from '../../../src/ingress/ingress-policy.js';
+import { ingressContext, ingressRequest } from '../../../src/ingress/ingress-context.js';
 import { learnFromResult } from '../../../src/ingress/result-learning.js';
 import { frameContext } from '../../../src/link/frame-context.js';
 import type { OutboundResult } from '../../../src/outbound/outbound-request.js';
--- a/src/call/request-journal.ts
+++ b/src/call/request-journal.ts
@@ -76,7 +76,8 @@
   }
 
   /**
-   * A call for the target of this machine ended without a whole answer.
+   * A call for the target of this machine ended without a whole answer. The field `kind` holds what the line of the ingress
+   * calls `route`.
    * @param cause one sentence, where the gate refused it
    */
   onGate(
--- a/src/call/transport.ts
+++ b/src/call/transport.ts
@@ -23,7 +23,7 @@
   readonly written: boolean;
 }
 
-/** Why what came back is not the target's answer to the request. */
+/** Why what came back is not the target's answer to the request. Only gates of sidecars judge that. */
 export type AnswerFault =
   /** The target says that it turned the request away without running it. */
   | 'not-executed'
@@ -34,7 +34,7 @@
 
 /** The start of an answer. */
 export interface AnswerHead {
-  /** Set where this is not the target's answer to the request. */
+  /** Set by sidecars where this is not the target's answer to the request. */
   readonly fault?: AnswerFault | undefined;
   /** Name of the incarnation of the target that was to answer; set by sidecars. */
   readonly expectedIncarnation?: string | undefined;
@@ -70,7 +70,7 @@
 export interface AttemptEnvelope {
   /** Retries lent with the attempt. */
   readonly retries: number;
-  /** Whether an earlier attempt of the call may have arrived at a target. */
+  /** Whether an earlier attempt of the call may have arrived at a target. Sent on between sidecars alone. */
   readonly isRepeat: boolean;
 }
 
--- a/src/edge/mint-context.ts
+++ b/src/edge/mint-context.ts
@@ -1,4 +1,7 @@
-/** The context of a call from outside, as an edge mints it. Pure: edges and the simulator share it. */
+/**
+ * The context of a call from outside, as an edge mints it, and how the call is sent. For edges and the simulator. Owns
+ * nothing; pure. Relies on the policy's kinds, where an ingress has routes (`ingress/ingress-context.ts`).
+ */
 import type { Group, RequestKind } from '../policy/policy-table.js';
 import type { CallContext } from '../call/call-context.js';
 import type { OutboundRequest } from '../outbound/outbound-request.js';
--- a/src/ingress/ingress-exchange.ts
+++ b/src/ingress/ingress-exchange.ts
@@ -28,7 +28,7 @@
 import type { IngressQuota, QuotaPermit } from '../quota/ingress-quota.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
 import type { WeightedSplit } from '../routing/weighted-split.js';
-import { ingressContext, ingressRequest } from './ingress-policy.js';
+import { ingressContext, ingressRequest } from './ingress-context.js';
 import { cutByStop, decideOnBody, decideOnSending, rateLimited } from './ingress-rules.js';
 import { learnFromResult, type ResultLearners } from './result-learning.js';
 
