--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -4,6 +4,7 @@
  * suspended; relies on the monotonic clock, the time of day and the time since the machine's start.
  */
 import { uptime } from 'node:os';
+import { MS_PER_SECOND } from './units.js';
 
 /** A scheduled callback that can be cancelled before it runs. */
 export interface Timer {
@@ -29,13 +30,10 @@
   uptimeMs(): number;
 }
 
-/** Milliseconds in a second. */
-const MILLISECONDS = 1_000;
-
 const SYSTEM_SOURCES: ClockSources = {
   steadyMs: () => performance.now(),
   wallMs: () => Date.now(),
-  uptimeMs: () => uptime() * MILLISECONDS,
+  uptimeMs: () => uptime() * MS_PER_SECOND,
 };
 
 /** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. Not measured. */
--- a/src/ingress/ingress-policy.ts
+++ b/src/ingress/ingress-context.ts
@@ -1,22 +1,35 @@
-/** What an ingress decides about a request once it knows its route. Pure. */
+/**
+ * What a request may do once the ingress has let it begin: its deadline, its longest wait at a gate, its retries, and how it
+ * is sent. For the ingress of a sidecar and the simulated one.
+ *
+ * Owns nothing; pure. Relies on the route's declared limits.
+ */
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import { contextName, type CallContext } from '../call/call-context.js';
-import type { RandomSource } from '../common/random.js';
-import type { OutboundRequest, OutboundResult } from '../outbound/outbound-request.js';
+import { headerSafeName, type CallContext } from '../call/call-context.js';
+import type { OutboundRequest } from '../outbound/outbound-request.js';
 
-/** Group of requests without a key. */
+/** Group of requests that need no key. */
 const DEFAULT_GROUP = 'default';
-/** Part of its objective that a request may wait to be let in: refused then, it can be sent again. */
+/**
+ * Part of its objective that a request may wait at a gate to be let in: longer, a refused one could not be sent again within
+ * its objective; shorter, more are refused in a short surge. Not measured.
+ */
 const WAIT_FRACTION = 0.25;
-/** An answer that takes this multiple of the usual time is taken for lost. */
+/**
+ * An answer that takes this multiple of the traffic class's usual time is taken for lost, and a hedged request is sent: less
+ * repeats slow answers, more finds a lost one too late. docs/rounds/order-mesh.md has the simulation without hedged requests,
+ * in which no answer is lost; other multiples are not measured.
+ */
 const HEDGE_DELAY_FACTOR = 6;
-/** Targets that are tried after one has refused for overload. */
+/**
+ * Targets that are tried after one has refused for overload: each costs the caller the time of a refusal, and finds a target
+ * of unlike load. Worth nothing in the simulation of docs/rounds/order-mesh.md, where all targets are alike; 2 and more are
+ * not measured.
+ */
 const OVERLOAD_REROUTES = 1;
 
-/** Part of its objective that a request may wait for a permit in the quota of its group. */
-const QUOTA_WAIT_PART = 0.1;
 /** What a request brings besides its route. */
 export interface IngressArrival {
   readonly requestId: string;
@@ -39,7 +52,8 @@
     requestId,
     group: arrival.group?.name ?? DEFAULT_GROUP,
     groupRank: arrival.group?.rank ?? 0,
-    kind: contextName(route.name),
+    // A gate knows calls by kinds: in a sidecar the route is the kind.
+    kind: headerSafeName(route.name),
     importance: route.importance,
     deadlineAt: arrivedAt + Math.min(clientTimeoutMs, route.timeoutMs),
     retries: route.maxTargets - 1,
@@ -72,18 +86,3 @@
     hedgeDelayFactor: HEDGE_DELAY_FACTOR,
   };
 }
-
-/**
- * Longest time in milliseconds that a request waits for control to grant its group more: an answer of control takes some
- * milliseconds, and a request that is refused after it can still come again within its objective.
- */
-export function quotaWaitMs({ objectiveMs }: Route): number {
-  return objectiveMs * QUOTA_WAIT_PART;
-}
-
-/** How congested a call that the target of this machine made was below, 0 to 1. */
-export function congestionOf(result: Exclude<OutboundResult, { type: 'broken' }>): number {
-  const isLost =
-    result.type === 'refused' && (result.overloaded || result.refusal.reason === 'deadline');
-  return isLost ? 1 : result.congestion;
-}
