--- a/src/admission/kind-limiter.ts
+++ b/src/admission/kind-limiter.ts
@@ -51,6 +51,39 @@
   readonly isHeldUp: boolean;
 }
 
+/** What the calls that the target makes are like when a request asks to be let in. */
+export interface DownstreamState {
+  /** So little congested that work goes on. */
+  readonly isCalm: boolean;
+  /** So congested that requests of this kind are limited. */
+  readonly isCongested: boolean;
+}
+
+const UNKNOWN_DOWNSTREAM: DownstreamState = { isCalm: false, isCongested: false };
+
+/** What the limit that was reached stems from. */
+export type KindLimitCause =
+  /** The limit that a kind starts with, raised by its answers: nothing was congested yet. */
+  | 'first-limit'
+  /** The target's calls for this kind are congested now. */
+  | 'congested'
+  /** They were, and the limit has not grown back yet. */
+  | 'recovering';
+
+/** Why a request was kept out, with the numbers that decided. */
+export interface KindLimitReached {
+  readonly type: 'limit-reached';
+  readonly cause: KindLimitCause;
+  /** Most requests of the kind at a time; it moves in fractions. */
+  readonly limit: number;
+  /** Requests of the kind under way. */
+  readonly underWay: number;
+}
+
+export type KindEntry = { readonly type: 'entered' } | KindLimitReached;
+
+const ENTERED: KindEntry = { type: 'entered' };
+
 interface KindState {
   inFlight: number;
   /** Infinity where there is no limit. */
@@ -71,21 +104,18 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /**
-   * Counts a request as under way; false, and not counted, if its kind is at its limit.
-   * @param isCalmBelow whether calls that the target makes are held up so little that work goes on
-   */
-  tryEnter(kind: string, isCalmBelow = false): boolean {
+  /** Counts a request as under way, unless its kind is at its limit. */
+  enter(kind: string, downstream: DownstreamState = UNKNOWN_DOWNSTREAM): KindEntry {
     const state = this.state(kind);
     const now = this.clock.now();
-    if (isCalmBelow) growWithoutAnswer(state, now);
+    if (downstream.isCalm) growWithoutAnswer(state, now);
     state.askedAt = now;
-    if (state.inFlight >= state.limit) return false;
+    if (state.inFlight >= state.limit) return limitReached(state, downstream);
     state.inFlight += 1;
-    return true;
+    return ENTERED;
   }
 
-  /** A request that {@link tryEnter} counted is over. */
+  /** A request that {@link enter} counted is over. */
   leave(kind: string): void {
     const state = this.kinds.get(kind);
     if (state !== undefined && state.inFlight > 0) state.inFlight -= 1;
@@ -135,6 +165,12 @@
   }
 }
 
+function limitReached(state: KindState, { isCongested }: DownstreamState): KindLimitReached {
+  const limited = { type: 'limit-reached', limit: state.limit, underWay: state.inFlight } as const;
+  if (state.isStarting) return { ...limited, cause: 'first-limit' };
+  return { ...limited, cause: isCongested ? 'congested' : 'recovering' };
+}
+
 /**
  * No answer has come for long, but requests run and their calls are not held up: more are let in the longer that lasts, as
  * long as the limit is made use of. With answers alone 6 of 40 requests got in whose runs take 4.6 s.
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -12,6 +12,7 @@
 import { RunEnd, type TargetState, type WatchedRun } from '../quarantine/crash-watch.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
 import type { CallContext } from '../call/call-context.js';
+import { kindRefusalDetail } from './kind-refusal.js';
 import { KindUse } from './kind-use.js';
 import { NestedTime } from './nested-time.js';
 import { judgeBrokenRun } from './broken-run.js';
@@ -96,14 +97,10 @@
       this.refuse('leaving', 'not-run', SOON_SECONDS, 'The target is leaving.');
       return;
     }
-    if (!this.kindUse.tryEnter(this.isNested)) {
+    const kindRefusal = this.kindUse.enter(this.isNested);
+    if (kindRefusal !== undefined) {
       this.refusedForOverload = true;
-      this.refuse(
-        'overload',
-        'not-run',
-        SOON_SECONDS,
-        'Calls that the target makes for this kind are held up.',
-      );
+      this.refuse('overload', 'not-run', SOON_SECONDS, kindRefusalDetail(kindRefusal));
       return;
     }
     if (!this.repeatUse.tryEnter()) {
--- /dev/null
+++ b/src/gate/kind-refusal.ts
@@ -0,0 +1,26 @@
+/**
+ * What a gate says when the limit by kind refuses a request: the reason, then the numbers that decided. Pure. Relies
+ * on the limiter for the reason.
+ */
+import type { KindLimitCause, KindLimitReached } from '../admission/kind-limiter.js';
+
+/** A request that the limit of its kind kept out. */
+export interface KindRefusal extends KindLimitReached {
+  /** Part of the target's own calls that are congested, 0 to 1. */
+  readonly congestionLevel: number;
+}
+
+const CAUSES: Record<KindLimitCause, string> = {
+  'first-limit': 'Too few calls of this kind have been answered yet to let in more.',
+  congested: 'Calls that the target makes for this kind are held up.',
+  recovering: 'Calls that the target makes for this kind were held up until lately.',
+};
+
+/** The cause as log lines give it. */
+export function kindRefusalDetail(refusal: KindRefusal): string {
+  const { cause, underWay, congestionLevel } = refusal;
+  const limit = refusal.limit.toFixed(1);
+  const level = congestionLevel.toFixed(2);
+  const figures = `${underWay} are under way, the limit is ${limit}, the congestion level ${level}.`;
+  return `${CAUSES[cause]} ${figures}`;
+}
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -3,6 +3,7 @@
 import type { KindLimiter } from '../admission/kind-limiter.js';
 import type { Clock } from '../common/clock.js';
 import type { CallContext } from '../call/call-context.js';
+import type { KindRefusal } from './kind-refusal.js';
 import { isAboveTolerated, maxTimeInTargetMs } from './gate-policy.js';
 
 /** What the gate keeps of all kinds. */
@@ -30,16 +31,20 @@
   ) {}
 
   /**
-   * Whether the kind has room for one more request.
+   * Counts the call as under way; says why not where its kind is at its limit.
    * @param isNested whether a target makes the call: those are never limited by kind
    */
-  tryEnter(isNested: boolean): boolean {
+  enter(isNested: boolean): KindRefusal | undefined {
     const { kindLimiter, clock, downstreamLevel } = this.services;
-    if (kindLimiter === undefined || isNested) return true;
+    if (kindLimiter === undefined || isNested) return undefined;
     this.maxTargetMs = maxTimeInTargetMs(this.context, clock.now());
-    const isCalmBelow = isCalm(downstreamLevel?.() ?? 0);
-    this.isCounted = kindLimiter.tryEnter(this.context.kind, isCalmBelow);
-    return this.isCounted;
+    const congestionLevel = downstreamLevel?.() ?? 0;
+    const entry = kindLimiter.enter(this.context.kind, {
+      isCalm: isCalm(congestionLevel),
+      isCongested: this.isCongested(congestionLevel),
+    });
+    this.isCounted = entry.type === 'entered';
+    return entry.type === 'entered' ? undefined : { ...entry, congestionLevel };
   }
 
   /**
@@ -48,14 +53,14 @@
    */
   onAnswer(status: number, heldMs: number): void {
     const { kindImpact, kindLimiter, downstreamLevel } = this.services;
-    const { kind, importance } = this.context;
+    const { kind } = this.context;
     const level = downstreamLevel?.() ?? 0;
     kindImpact?.onAnswer(kind, heldMs, status, isCalm(level));
     if (!this.isCounted) return;
     kindLimiter?.onAnswer(kind, {
       maxTargetMs: this.maxTargetMs,
       succeeded: status < FIRST_SERVER_ERROR,
-      isHeldUp: isAboveTolerated(level, importance) && (kindImpact?.of(kind) ?? 1) > 0,
+      isHeldUp: this.isCongested(level),
     });
   }
 
@@ -64,4 +69,11 @@
     if (this.isCounted) this.services.kindLimiter?.leave(this.context.kind);
     this.isCounted = false;
   }
+
+  /** Whether so many calls of the target are congested that requests of this kind are limited. */
+  private isCongested(level: number): boolean {
+    const { kind, importance } = this.context;
+    const impact = this.services.kindImpact?.of(kind) ?? 1;
+    return isAboveTolerated(level, importance) && impact > 0;
+  }
 }
--- a/test/admission/kind-limiter.test.ts
+++ b/test/admission/kind-limiter.test.ts
@@ -23,7 +23,7 @@
       arrivals += demand / 1_000;
       answers = Math.min(answers + perSecond / 1_000, beganAt.length + 1);
       for (; arrivals >= 1; arrivals -= 1) {
-        if (limiter.tryEnter(KIND)) beganAt.push(clock.now());
+        if (limiter.enter(KIND).type === 'entered') beganAt.push(clock.now());
         else refused += 1;
       }
       for (; answers >= 1 && beganAt.length > 0; answers -= 1) {
@@ -54,13 +54,13 @@
     const clock = new VirtualClock();
     const limiter = new KindLimiter(clock);
     let entered = 0;
-    while (limiter.tryEnter(KIND)) entered += 1;
+    while (limiter.enter(KIND).type === 'entered') entered += 1;
     expect(entered).to.be.within(2, 10);
     for (let answer = 0; answer < 100; answer += 1) {
       clock.advance(20);
       limiter.onAnswer(KIND, { maxTargetMs: MAX_TARGET_MS, succeeded: true, isHeldUp: false });
       limiter.leave(KIND);
-      limiter.tryEnter(KIND);
+      limiter.enter(KIND);
     }
     expect(limiter.limitOf(KIND)).to.equal(Infinity);
   });
@@ -83,13 +83,13 @@
     const limiter = new KindLimiter(clock);
     for (let request = 0; request < 200; request += 1) {
       clock.advance(10);
-      if (!limiter.tryEnter(KIND)) continue;
+      if (limiter.enter(KIND).type !== 'entered') continue;
       const failed = { maxTargetMs: MAX_TARGET_MS, succeeded: false, isHeldUp: true };
       limiter.onAnswer(KIND, failed);
       limiter.leave(KIND);
     }
     expect(limiter.limitOf(KIND)).to.equal(2);
-    expect(limiter.tryEnter(KIND)).to.equal(true);
+    expect(limiter.enter(KIND).type).to.equal('entered');
   });
 });
 
--- a/test/gate/restart-with-long-runs.test.ts
+++ b/test/gate/restart-with-long-runs.test.ts
@@ -32,7 +32,7 @@
     let letIn = 0;
     for (let at = 0; at < WATCHED_MS; at += GAP_MS) {
       const use = new KindUse(services, { ...context, deadlineAt: clock.now() + 6_000 });
-      if (use.tryEnter(false)) {
+      if (use.enter(false) === undefined) {
         letIn += 1;
         clock.schedule(RUN_MS, () => {
           use.onAnswer(200, RUN_MS);
