--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -8,6 +8,7 @@
 import { KindImpact } from '../../../src/admission/kind-impact.js';
 import { KindLimiter } from '../../../src/admission/kind-limiter.js';
 import { SlotLimiter } from '../../../src/admission/slot-limiter.js';
+import { GateCallRules } from '../../../src/gate/gate-call-rules.js';
 import {
   gateContext,
   gateOptions,
@@ -16,7 +17,7 @@
   SLOT_FRACTION,
 } from '../../../src/gate/gate-policy.js';
 import { InboundCall } from '../../../src/gate/inbound-call.js';
-import type { InboundServices } from '../../../src/gate/inbound-services.js';
+import type { GateServices } from '../../../src/gate/inbound-services.js';
 import {
   congestionOf,
   ingressContext,
@@ -81,7 +82,7 @@
   private readonly downstream: CongestionLevel;
   private readonly retryBudget: ServiceRetryBudget;
   private readonly repeatedRuns: RepeatedRuns;
-  private readonly services: InboundServices;
+  private readonly services: GateServices;
   private readonly directory: ServiceDirectory;
   private readonly router: OutboundRouter;
   private readonly nestedRoutes = new NestedRoutes();
@@ -200,14 +201,14 @@
         const reason = result.type === 'broken' ? 'broken-answer' : result.refusal.reason;
         answer(0, call.takeOutcome(verdict, reason));
       },
-      gateOptions(frame, isNested),
+      new GateCallRules(this.services, context, gateOptions(frame, isNested)),
     );
     transport.onRelayed = (status) => answer(status, call.takeOutcome('ran', undefined));
     call.start();
     return call;
   }
 
-  private createServices(): InboundServices {
+  private createServices(): GateServices {
     const { clock, random } = this.world;
     return {
       clock,
@@ -226,6 +227,13 @@
       kindLimiter: new KindLimiter(clock),
       retryBudget: this.retryBudget,
       repeatedRuns: this.repeatedRuns,
+      // Targets here neither move nor crash.
+      onMisdirected: () => undefined,
+      crashGuard: {
+        isQuarantined: () => false,
+        begin: () => undefined,
+        isLikelyCause: () => false,
+      },
     };
   }
 
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -9,6 +9,7 @@
 import { ProbeLimiter } from '../../src/admission/probe-limiter.js';
 import { SHARING_ORDERS } from '../../src/admission/sharing-policy.js';
 import type { CallContext } from '../../src/call/call-context.js';
+import { NODE_CALL_RULES } from '../../src/gate/call-rules.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { InboundResult } from '../../src/gate/inbound-services.js';
 import { OutboundRouter } from '../../src/outbound/outbound-router.js';
@@ -161,6 +162,7 @@
         answer({ status, bytes, outcome: call.takeOutcome('ran', undefined) }),
       ),
       (result) => this.onResult(call, request, result, answer),
+      NODE_CALL_RULES,
     );
     this.inboundByLabId.set(request.labId, call);
     call.start();
--- /dev/null
+++ b/src/gate/gate-call-rules.ts
@@ -0,0 +1,93 @@
+/**
+ * The rules that the gate of a sidecar has for one call: the limit by kind, the retry budget, the watch for crashes, and
+ * the congestion that it reports. Owns what the call counts towards each; relies on the parts that all calls share.
+ */
+import type { CongestionLevel } from '../admission/congestion-level.js';
+import type { CallContext } from '../call/call-context.js';
+import type { WatchedRun } from '../quarantine/crash-watch.js';
+import type { RepeatRoom } from '../retry/repeat-room.js';
+import type { CallRules } from './call-rules.js';
+import { toldCongestion } from './gate-congestion.js';
+import type { GateServices } from './inbound-services.js';
+import type { KindRefusal } from './kind-refusal.js';
+import { KindUse } from './kind-use.js';
+import { RepeatUse } from './repeat-use.js';
+
+/** What a gate knows of a call besides its context. */
+export interface GateCallOptions {
+  /** Whether a target makes the call. */
+  readonly isNested: boolean;
+  /** A call that waits longer than this to be let in reports overload, in milliseconds. */
+  readonly congestedAfterMs: number;
+}
+
+export class GateCallRules implements CallRules {
+  private readonly kindUse: KindUse;
+  private readonly repeatUse: RepeatUse;
+
+  constructor(
+    private readonly services: GateServices,
+    private readonly context: CallContext,
+    private readonly options: GateCallOptions,
+  ) {
+    this.kindUse = new KindUse(services, context);
+    this.repeatUse = new RepeatUse(services, context, options.isNested);
+  }
+
+  get isNested(): boolean {
+    return this.options.isNested;
+  }
+
+  get repeatRoom(): RepeatRoom {
+    return this.repeatUse.room;
+  }
+
+  enterKind(): KindRefusal | undefined {
+    return this.kindUse.enter(this.isNested);
+  }
+
+  enterRepeat(): boolean {
+    return this.repeatUse.tryEnter();
+  }
+
+  onAdmitted(waitedMs: number): boolean {
+    const waitedLong = waitedMs > this.options.congestedAfterMs;
+    this.queueLevel.onCall(waitedLong ? 1 : 0);
+    return waitedLong;
+  }
+
+  onNotAdmitted(): void {
+    this.queueLevel.onCall(1);
+  }
+
+  onArrival(): WatchedRun | undefined {
+    this.repeatUse.onArrival();
+    return this.services.crashGuard.begin(this.context.fingerprint ?? '');
+  }
+
+  onAnswer(status: number, heldMs: number): void {
+    this.kindUse.onAnswer(status, heldMs);
+  }
+
+  onMisdirected(expectedIncarnation: string): void {
+    this.services.onMisdirected(expectedIncarnation);
+  }
+
+  isLikelyCause(run: WatchedRun, underWay: number): boolean {
+    return this.services.crashGuard.isLikelyCause(run, underWay);
+  }
+
+  leave(): void {
+    this.kindUse.leave();
+    this.repeatUse.leave();
+  }
+
+  congestion(): number {
+    const queueLevel = this.queueLevel.current();
+    return toldCongestion(this.services, this.context.kind, this.isNested, queueLevel);
+  }
+
+  private get queueLevel(): CongestionLevel {
+    return this.services.queueLevels[this.context.importance]!;
+  }
+}
--- a/src/gate/gate-congestion.ts
+++ b/src/gate/gate-congestion.ts
@@ -18,8 +18,8 @@
   isNested: boolean,
   queueLevel: number,
 ): number {
-  const impact = kindImpact?.of(kind) ?? 1;
-  const level = downstreamLevel?.() ?? 0;
+  const impact = kindImpact.of(kind);
+  const level = downstreamLevel();
   if (!isNested) return impact * level;
   return Math.max(queueLevel, impact > 0 ? level : 0);
 }
--- a/src/gate/gate-policy.ts
+++ b/src/gate/gate-policy.ts
@@ -3,7 +3,7 @@
 import type { CallFrameContext } from '../link/link-frames.js';
 import { LOWEST_IMPORTANCE, parseImportance, type Importance } from '../policy/importance.js';
 import type { CallContext } from '../call/call-context.js';
-import type { InboundCallOptions } from './inbound-services.js';
+import type { GateCallOptions } from './gate-call-rules.js';
 
 /** Part of a target's slots that is used. Some targets slow down when they are nearly full. */
 export const SLOT_FRACTION = 0.95;
@@ -65,8 +65,8 @@
 }
 
 /** What the gate knows of a call besides its context. */
-export function gateOptions(frame: CallFrameContext, isNested: boolean): InboundCallOptions {
-  return { nested: isNested, congestedAfterMs: CONGESTED_WAIT_FRACTION * frame.waitMs };
+export function gateOptions(frame: CallFrameContext, isNested: boolean): GateCallOptions {
+  return { isNested, congestedAfterMs: CONGESTED_WAIT_FRACTION * frame.waitMs };
 }
 
 /**
--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -11,14 +11,15 @@
 import type { CallStats } from '../call/call-stats.js';
 import { gateContext, gateOptions } from './gate-policy.js';
 import { InboundCall } from './inbound-call.js';
-import type { InboundResult, InboundServices } from './inbound-services.js';
+import { GateCallRules } from './gate-call-rules.js';
+import type { GateServices, InboundResult } from './inbound-services.js';
 import { CrashNote, unbegunOutcome, type Outcome } from '../call/outcome.js';
 import type { RefusalReason } from '../call/refusal.js';
 import type { RequestJournal } from '../call/request-journal.js';
 
 /** What the gate is made of. */
 export interface GateServerOptions {
-  readonly services: InboundServices;
+  readonly services: GateServices;
   readonly transport: GateTransportOptions;
   readonly stats: CallStats;
   /** Service of the present target; undefined while there is none. */
@@ -84,7 +85,7 @@
       this.refuseUnbegun('unavailable', 'The target is of another service.');
       return;
     }
-    if (services.crashGuard?.isQuarantined(context.fingerprint ?? '') === true) {
+    if (services.crashGuard.isQuarantined(context.fingerprint ?? '')) {
       this.refuseUnbegun('unavailable', 'Targets crash under the request.', CrashNote.Quarantined);
       return;
     }
@@ -94,7 +95,7 @@
       services,
       new GateTransport(transport, context, incoming),
       (result) => this.onResult(call, result),
-      gateOptions(incoming.frame.context, this.nested),
+      new GateCallRules(services, context, gateOptions(incoming.frame.context, this.nested)),
     );
     this.call = call;
     incoming.takeOutcome = (): Outcome => call.takeOutcome('ran', undefined);
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -4,7 +4,6 @@
  */
 import type { AdmissionPermit } from '../admission/admission-controller.js';
 import type { PendingAdmission, AdmissionRefusal } from '../admission/admission-controller.js';
-import type { CongestionLevel } from '../admission/congestion-level.js';
 import type { SampleOutcome } from '../admission/concurrency-limiter.js';
 import type { Timer } from '../common/clock.js';
 import type { Verdict } from '../common/verdict.js';
@@ -13,19 +12,12 @@
 import { RetryAllowance } from '../retry/retry-allowance.js';
 import type { CallContext } from '../call/call-context.js';
 import { kindRefusalDetail } from './kind-refusal.js';
-import { KindUse } from './kind-use.js';
 import { NestedTime } from './nested-time.js';
 import { judgeBrokenRun } from './broken-run.js';
-import { toldCongestion } from './gate-congestion.js';
-import type {
-  InboundCallOptions,
-  InboundListener,
-  InboundResult,
-  InboundServices,
-} from './inbound-services.js';
+import type { CallRules } from './call-rules.js';
+import type { InboundListener, InboundResult, InboundServices } from './inbound-services.js';
 import type { CrashNote, LoadReport, Outcome } from '../call/outcome.js';
 import type { RefusalReason } from '../call/refusal.js';
-import { RepeatUse } from './repeat-use.js';
 import type {
   AnswerFault,
   AnswerHead,
@@ -53,8 +45,6 @@
   /** Retries that the calls made by the target share. */
   readonly allowance: RetryAllowance;
   private readonly nested: NestedTime;
-  private readonly kindUse: KindUse;
-  private readonly repeatUse: RepeatUse;
   private pending: PendingAdmission | undefined;
   private permit: AdmissionPermit | undefined;
   private claim: ClaimHandle | undefined;
@@ -82,13 +72,11 @@
     private readonly services: InboundServices,
     private readonly transport: TargetTransport,
     private readonly listener: InboundListener,
-    private readonly options: InboundCallOptions = {},
+    private readonly rules: CallRules,
   ) {
     this.startedAt = services.clock.now();
     this.allowance = new RetryAllowance(context.retries);
     this.nested = new NestedTime(services.clock);
-    this.kindUse = new KindUse(services, context);
-    this.repeatUse = new RepeatUse(services, context, this.isNested);
   }
 
   /** Starts the call. The listener may hear the result before this returns. */
@@ -97,13 +85,13 @@
       this.refuse('leaving', 'not-run', SOON_SECONDS, 'The target is leaving.');
       return;
     }
-    const kindRefusal = this.kindUse.enter(this.isNested);
+    const kindRefusal = this.rules.enterKind();
     if (kindRefusal !== undefined) {
       this.refusedForOverload = true;
       this.refuse('overload', 'not-run', SOON_SECONDS, kindRefusalDetail(kindRefusal));
       return;
     }
-    if (!this.repeatUse.tryEnter()) {
+    if (!this.rules.enterRepeat()) {
       this.refuse(
         'retry-budget',
         'not-run',
@@ -152,7 +140,7 @@
       refusal,
       overloaded: this.refusedForOverload || this.nestedOverload || this.waitedLong,
       ...this.congestion(),
-      ...(this.isNested && { nested: true }),
+      ...(this.rules.isNested && { nested: true }),
       ...(this.rejectedByTarget && { rejectedByTarget: true }),
       ...(this.crashNote !== undefined && { crashNote: this.crashNote }),
       unspentRetries: this.allowance.end(),
@@ -161,21 +149,19 @@
   }
 
   private congestion(): Pick<Outcome, 'congestion'> {
-    const { queueLevel, services, isNested } = this;
-    if (queueLevel === undefined) return {};
-    const held = queueLevel.current();
-    return { congestion: toldCongestion(services, this.context.kind, isNested, held) };
+    const congestion = this.rules.congestion();
+    return congestion === undefined ? {} : { congestion };
   }
 
   private loadReport(): LoadReport {
     const status = this.services.admission.status();
-    const { room: repeatRoom } = this.repeatUse;
+    const { repeatRoom } = this.rules;
     return { inFlight: status.inFlight + status.waiting, limit: status.limit, repeatRoom };
   }
 
   private onNotAdmitted(reason: AdmissionRefusal, retryAfterSeconds: number): void {
     this.refusedForOverload = reason !== 'leaving';
-    if (this.refusedForOverload) this.queueLevel?.onCall(1);
+    if (this.refusedForOverload) this.rules.onNotAdmitted();
     this.refuse(reason, 'not-run', retryAfterSeconds, NOT_ADMITTED_DETAILS[reason]);
   }
 
@@ -183,8 +169,7 @@
     this.permit = permit;
     const now = this.services.clock.now();
     this.admittedAt = now;
-    this.waitedLong = now - this.startedAt > (this.options.congestedAfterMs ?? Infinity);
-    this.queueLevel?.onCall(this.waitedLong ? 1 : 0);
+    this.waitedLong = this.rules.onAdmitted(now - this.startedAt);
     const remainingMs = this.context.deadlineAt - now;
     this.deadlineTimer = this.services.clock.schedule(remainingMs, () => this.onDeadline());
     if (this.claimKey === undefined) {
@@ -210,8 +195,7 @@
 
   private forward(): void {
     this.claim?.onForwarded();
-    this.repeatUse.onArrival();
-    this.run = this.services.crashGuard?.watch.begin(this.context.fingerprint ?? '');
+    this.run = this.rules.onArrival();
     this.attempt = this.transport.send({
       onHead: (head) => this.onHead(head),
       onEnd: () => this.onEnd(),
@@ -235,17 +219,9 @@
     return 'relay';
   }
 
-  private get queueLevel(): CongestionLevel | undefined {
-    return this.services.queueLevels?.[this.context.importance];
-  }
-
-  private get isNested(): boolean {
-    return this.options.nested === true;
-  }
-
   /** The target has answered, or has not in time. */
   private learnFrom(status: number): void {
-    this.kindUse.onAnswer(status, this.services.clock.now() - this.admittedAt);
+    this.rules.onAnswer(status, this.services.clock.now() - this.admittedAt);
   }
 
   /**
@@ -266,7 +242,7 @@
       this.rejectedByTarget = true;
       this.claim?.release();
       this.refusedForOverload = fault === 'not-executed' && isFull;
-      if (fault === 'misdirected') this.services.onMisdirected?.(expectedIncarnation ?? '');
+      if (fault === 'misdirected') this.rules.onMisdirected(expectedIncarnation ?? '');
       const reason = this.refusedForOverload ? 'overload' : 'unavailable';
       this.refuse(reason, 'not-run', SOON_SECONDS, 'The target turned the request away.');
       return;
@@ -307,8 +283,7 @@
   }
 
   private refuseAfterBreak(verdict: Verdict, state: TargetState): void {
-    const { crashGuard } = this.services;
-    const isLikelyCause = crashGuard?.isLikelyCause(this.run!, state.underWay) === true;
+    const isLikelyCause = this.rules.isLikelyCause(this.run!, state.underWay);
     const { refusal, crashNote } = judgeBrokenRun(verdict, state.isDown, isLikelyCause);
     this.crashNote = crashNote;
     this.finish({ type: 'refused', refusal });
@@ -342,8 +317,7 @@
   }
 
   private release(outcome: SampleOutcome): void {
-    this.kindUse.leave();
-    this.repeatUse.leave();
+    this.rules.leave();
     const permit = this.permit;
     this.permit = undefined;
     permit?.release(outcome, this.nested.totalMs());
--- a/src/gate/inbound-services.ts
+++ b/src/gate/inbound-services.ts
@@ -1,41 +1,49 @@
-/** What an inbound call works with, and how it ends. */
+/**
+ * What inbound calls work with, and how they end. Two shapes: {@link InboundServices} is all that the inbound side of
+ * `shoredoor node` has, and {@link GateServices} is what the gate of a sidecar has besides.
+ */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import type { CongestionLevel } from '../admission/congestion-level.js';
 import type { Clock } from '../common/clock.js';
 import type { Verdict } from '../common/verdict.js';
 import type { KeyClaims } from '../dedup/claim.js';
-import type { CrashGuard } from '../quarantine/crash-guard.js';
+import type { WatchedRun } from '../quarantine/crash-watch.js';
 import type { KindServices } from './kind-use.js';
 import type { Refusal } from '../call/refusal.js';
 import type { RepeatServices } from './repeat-use.js';
 
-/** What the calls of one node share. */
-export interface InboundServices extends KindServices, RepeatServices {
+/** What the calls to one target share. */
+export interface InboundServices {
   readonly clock: Clock;
   readonly admission: AdmissionController;
-  /** Whether the node is leaving and takes no new calls of this kind. */
+  /** Whether the process is leaving and takes no new calls of this kind. */
   readonly isLeaving: (kind: string) => boolean;
   readonly claims: KeyClaims;
+}
+
+/** Tells crashes of the target from connections that break. */
+export interface GateCrashGuard {
+  /** Whether the request is kept from targets. */
+  isQuarantined(fingerprint: string): boolean;
+  /** A request is about to be sent to the target. @returns undefined where crashes are not watched */
+  begin(fingerprint: string): WatchedRun | undefined;
+  /** Whether the target may have crashed because of the run. @param underWay requests it was at work on */
+  isLikelyCause(run: WatchedRun, underWay: number): boolean;
+}
+
+/** What the calls of one sidecar's gate share. */
+export interface GateServices extends InboundServices, KindServices, RepeatServices {
   /** Another instance answered at the target's address. */
-  readonly onMisdirected?: (expectedIncarnation: string) => void;
+  readonly onMisdirected: (expectedIncarnation: string) => void;
   /**
    * Learn of calls that wait long or are refused here, by importance: urgent calls pass the others and
    * may go on while those wait.
    */
-  readonly queueLevels?: readonly CongestionLevel[];
-  /** Tells crashes of the target from connections that break. */
-  readonly crashGuard?: CrashGuard;
-}
-
-/** What a gate knows of a call besides its context. */
-export interface InboundCallOptions {
-  /** Whether the call is one that a target makes. */
-  readonly nested?: boolean;
-  /** A call that waits longer than this to be let in reports overload, in milliseconds. */
-  readonly congestedAfterMs?: number;
+  readonly queueLevels: readonly CongestionLevel[];
+  readonly crashGuard: GateCrashGuard;
 }
 
-/** How a call through a node ended. */
+/** How an inbound call ended. */
 export type InboundResult =
   | { readonly type: 'relayed' }
   | { readonly type: 'broken'; readonly verdict: Verdict }
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -10,11 +10,11 @@
 export interface KindServices {
   readonly clock: Clock;
   /** Part of the calls that the target makes which are held up, 0 to 1. */
-  readonly downstreamLevel?: () => number;
+  readonly downstreamLevel: () => number;
   /** Learns which kinds of call that level holds up. */
-  readonly kindImpact?: KindImpact;
+  readonly kindImpact: KindImpact;
   /** Bounds the requests of clients of each kind while that level is high. */
-  readonly kindLimiter?: KindLimiter;
+  readonly kindLimiter: KindLimiter;
 }
 
 const FIRST_SERVER_ERROR = 500;
@@ -36,9 +36,9 @@
    */
   enter(isNested: boolean): KindRefusal | undefined {
     const { kindLimiter, clock, downstreamLevel } = this.services;
-    if (kindLimiter === undefined || isNested) return undefined;
+    if (isNested) return undefined;
     this.maxTargetMs = maxTimeInTargetMs(this.context, clock.now());
-    const congestionLevel = downstreamLevel?.() ?? 0;
+    const congestionLevel = downstreamLevel();
     const entry = kindLimiter.enter(this.context.kind, {
       isCalm: isCalm(congestionLevel),
       isCongested: this.isCongested(congestionLevel),
@@ -54,10 +54,10 @@
   onAnswer(status: number, heldMs: number): void {
     const { kindImpact, kindLimiter, downstreamLevel } = this.services;
     const { kind } = this.context;
-    const level = downstreamLevel?.() ?? 0;
-    kindImpact?.onAnswer(kind, heldMs, status, isCalm(level));
+    const level = downstreamLevel();
+    kindImpact.onAnswer(kind, heldMs, status, isCalm(level));
     if (!this.isCounted) return;
-    kindLimiter?.onAnswer(kind, {
+    kindLimiter.onAnswer(kind, {
       maxTargetMs: this.maxTargetMs,
       succeeded: status < FIRST_SERVER_ERROR,
       isHeldUp: this.isCongested(level),
@@ -66,14 +66,14 @@
 
   /** The call is no longer under way. */
   leave(): void {
-    if (this.isCounted) this.services.kindLimiter?.leave(this.context.kind);
+    if (this.isCounted) this.services.kindLimiter.leave(this.context.kind);
     this.isCounted = false;
   }
 
   /** Whether so many calls of the target are congested that requests of this kind are limited. */
   private isCongested(level: number): boolean {
     const { kind, importance } = this.context;
-    const impact = this.services.kindImpact?.of(kind) ?? 1;
+    const impact = this.services.kindImpact.of(kind);
     return isAboveTolerated(level, importance) && impact > 0;
   }
 }
--- a/src/gate/repeat-use.ts
+++ b/src/gate/repeat-use.ts
@@ -1,5 +1,5 @@
 /** What one call at a gate counts towards the retry budget of its service. */
-import { RepeatRoom } from '../retry/repeat-room.js';
+import type { RepeatRoom } from '../retry/repeat-room.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
 import type { ArrivalSource, ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { CallContext } from '../call/call-context.js';
@@ -7,9 +7,9 @@
 /** What the gate keeps of all calls. */
 export interface RepeatServices {
   /** Bounds the repeats that reach the target. */
-  readonly retryBudget?: ServiceRetryBudget;
+  readonly retryBudget: ServiceRetryBudget;
   /** Learns how many of the target's runs are repeats. */
-  readonly repeatedRuns?: RepeatedRuns;
+  readonly repeatedRuns: RepeatedRuns;
 }
 
 export class RepeatUse {
@@ -30,13 +30,13 @@
 
   /** Which repeats would be let through now. */
   get room(): RepeatRoom {
-    return this.services.retryBudget?.room(this.source) ?? RepeatRoom.Runs;
+    return this.services.retryBudget.room(this.source);
   }
 
   /** Whether the call is no repeat, or one that the budget allows. */
   tryEnter(): boolean {
     const { retryBudget } = this.services;
-    if (this.context.isRepeat !== true || retryBudget === undefined) return true;
+    if (this.context.isRepeat !== true) return true;
     this.holdsRepeat = retryBudget.tryRepeat(this.source);
     return this.holdsRepeat;
   }
@@ -46,17 +46,17 @@
     const { retryBudget, repeatedRuns } = this.services;
     const { kind, isRepeat, inheritedShare = 0 } = this.context;
     this.holdsRepeat = false;
-    if (isRepeat !== true) retryBudget?.onFirstArrival(this.source, inheritedShare);
+    if (isRepeat !== true) retryBudget.onFirstArrival(this.source, inheritedShare);
     this.runShare = isRepeat === true ? 1 : inheritedShare;
-    repeatedRuns?.onStart(kind, this.runShare);
+    repeatedRuns.onStart(kind, this.runShare);
   }
 
   /** The call is no longer in the target, or will not get there. */
   leave(): void {
-    if (this.holdsRepeat) this.services.retryBudget?.giveBack(this.source);
+    if (this.holdsRepeat) this.services.retryBudget.giveBack(this.source);
     this.holdsRepeat = false;
     if (this.runShare !== undefined) {
-      this.services.repeatedRuns?.onEnd(this.context.kind, this.runShare);
+      this.services.repeatedRuns.onEnd(this.context.kind, this.runShare);
     }
     this.runShare = undefined;
   }
--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -12,6 +12,7 @@
 import { CONTEXT_HEADER, LINK_HEADER, OUTCOME_HEADER, parseContext } from '../call/call-context.js';
 import type { CallContext } from '../call/call-context.js';
 import type { CallStats } from '../call/call-stats.js';
+import { NODE_CALL_RULES } from '../gate/call-rules.js';
 import { InboundCall } from '../gate/inbound-call.js';
 import type { InboundResult, InboundServices } from '../gate/inbound-services.js';
 import type { InboundRegistry } from '../gate/inbound-registry.js';
@@ -141,6 +142,7 @@
       services,
       transport,
       (result) => this.onResult(call, result),
+      NODE_CALL_RULES,
     );
     this.call = call;
     registry.add(this.spanId, call);
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -67,6 +67,11 @@
     return this.crashCount;
   }
 
+  /** A request is about to be sent to the target. */
+  begin(fingerprint: string): WatchedRun {
+    return this.watch.begin(fingerprint);
+  }
+
   /** Whether the request is kept from targets. */
   isQuarantined(fingerprint: string): boolean {
     const table = this.options.table();
--- a/test/gate/inbound-congestion.test.ts
+++ b/test/gate/inbound-congestion.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
+import { GateCallRules } from '../../src/gate/gate-call-rules.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { AttemptListener } from '../../src/call/transport.js';
-import { oneSlotAdmission } from '../support/slot-gate.js';
+import { gateServices, oneSlotAdmission } from '../support/slot-gate.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { NO_CLAIMS } from '../../src/dedup/no-claims.js';
 import { IMPORTANCE_COUNT, type Importance } from '../../src/policy/importance.js';
 
 const WAIT_MS = 20;
@@ -19,7 +19,7 @@
     const clock = new VirtualClock();
     const admission = oneSlotAdmission(clock);
     const queueLevels = Array.from({ length: IMPORTANCE_COUNT }, () => new CongestionLevel(clock));
-    const services = { clock, admission, claims: NO_CLAIMS, isLeaving: () => false, queueLevels };
+    const services = { ...gateServices(clock, admission), queueLevels };
     const listeners: AttemptListener[] = [];
     const start = (importance: Importance): InboundCall => {
       const context = {
@@ -38,8 +38,9 @@
           return { written: true, cancel: () => undefined };
         },
       };
-      const options = { congestedAfterMs: WAIT_MS / 2, nested: isNested };
-      const call = new InboundCall(context, undefined, services, transport, () => {}, options);
+      const options = { congestedAfterMs: WAIT_MS / 2, isNested };
+      const rules = new GateCallRules(services, context, options);
+      const call = new InboundCall(context, undefined, services, transport, () => {}, rules);
       call.start();
       return call;
     };
--- a/test/gate/kind-limit-cause.test.ts
+++ b/test/gate/kind-limit-cause.test.ts
@@ -6,14 +6,12 @@
  * Settled by: the congestion level of the target's calls, 0 at each of these refusals.
  */
 import { expect } from 'chai';
-import { KindImpact } from '../../src/admission/kind-impact.js';
-import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { NO_CLAIMS } from '../../src/dedup/no-claims.js';
+import { GateCallRules } from '../../src/gate/gate-call-rules.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { InboundResult } from '../../src/gate/inbound-services.js';
-import { slotAdmission } from '../support/slot-gate.js';
+import { gateServices, slotAdmission } from '../support/slot-gate.js';
 
 const SLOTS = 1_000;
 const RUN_MS = 100;
@@ -30,13 +28,8 @@
     downstreamLevel = 0;
     running = [];
     const services = {
-      clock,
-      admission: slotAdmission(clock, SLOTS),
-      claims: NO_CLAIMS,
-      isLeaving: () => false,
+      ...gateServices(clock, slotAdmission(clock, SLOTS)),
       downstreamLevel: () => downstreamLevel,
-      kindImpact: new KindImpact(clock),
-      kindLimiter: new KindLimiter(clock),
     };
     const transport = {
       send: (listener: AttemptListener) => {
@@ -58,7 +51,11 @@
       const listener = (result: InboundResult): void => {
         if (result.type === 'refused') refusedBecause = result.refusal.detail;
       };
-      new InboundCall(context, undefined, services, transport, listener).start();
+      const rules = new GateCallRules(services, context, {
+        isNested: false,
+        congestedAfterMs: RUN_MS,
+      });
+      new InboundCall(context, undefined, services, transport, listener, rules).start();
       return refusedBecause;
     };
   });
--- a/test/gate/rejection-with-room.test.ts
+++ b/test/gate/rejection-with-room.test.ts
@@ -7,6 +7,7 @@
  * Settled by: 1,128 rejections of 14,974 arrivals in the whole run, where 9 s of usual demand are 9,000 arrivals.
  */
 import { expect } from 'chai';
+import { NODE_CALL_RULES } from '../../src/gate/call-rules.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { InboundResult } from '../../src/gate/inbound-services.js';
 import type { Outcome } from '../../src/call/outcome.js';
@@ -41,7 +42,14 @@
     const results: InboundResult[] = [];
     const start = (): InboundCall => {
       const listener = (result: InboundResult): number => results.push(result);
-      const call = new InboundCall(context, undefined, services, transport, listener);
+      const call = new InboundCall(
+        context,
+        undefined,
+        services,
+        transport,
+        listener,
+        NODE_CALL_RULES,
+      );
       call.start();
       return call;
     };
--- a/test/support/slot-gate.ts
+++ b/test/support/slot-gate.ts
@@ -1,9 +1,18 @@
-/** The admission of a sidecar in virtual time, for a target with a few slots. */
+/** The gate of a sidecar in virtual time, for a target with a few slots that neither moves nor crashes. */
 import { AdmissionController } from '../../src/admission/admission-controller.js';
+import { CongestionLevel } from '../../src/admission/congestion-level.js';
+import { KindImpact } from '../../src/admission/kind-impact.js';
+import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import { SHARING_ORDERS } from '../../src/admission/sharing-policy.js';
 import { SlotLimiter } from '../../src/admission/slot-limiter.js';
 import { SeededRandom } from '../../src/common/random.js';
 import type { VirtualClock } from '../../src/common/virtual-clock.js';
+import { NO_CLAIMS } from '../../src/dedup/no-claims.js';
+import type { GateServices } from '../../src/gate/inbound-services.js';
+import { IMPORTANCE_COUNT } from '../../src/policy/importance.js';
+import { RepeatedRuns } from '../../src/retry/repeated-runs.js';
+import { ServiceRetryBudget } from '../../src/retry/service-retry-budget.js';
+import { DEFAULT_RETRY_BOUND } from '../../src/settings/schemas.js';
 
 export function slotAdmission(clock: VirtualClock, slots: number): AdmissionController {
   const limiter = new SlotLimiter(1);
@@ -22,3 +31,25 @@
 export function oneSlotAdmission(clock: VirtualClock): AdmissionController {
   return slotAdmission(clock, 1);
 }
+
+/** What the calls of a gate share that has just started, with no calls of the target. */
+export function gateServices(clock: VirtualClock, admission: AdmissionController): GateServices {
+  return {
+    clock,
+    admission,
+    claims: NO_CLAIMS,
+    isLeaving: () => false,
+    downstreamLevel: () => 0,
+    kindImpact: new KindImpact(clock),
+    kindLimiter: new KindLimiter(clock),
+    retryBudget: new ServiceRetryBudget({ clock, ...DEFAULT_RETRY_BOUND, gates: () => 1 }),
+    repeatedRuns: new RepeatedRuns(),
+    queueLevels: Array.from({ length: IMPORTANCE_COUNT }, () => new CongestionLevel(clock)),
+    onMisdirected: () => undefined,
+    crashGuard: {
+      isQuarantined: () => false,
+      begin: () => undefined,
+      isLikelyCause: () => false,
+    },
+  };
+}
