--- /dev/null
+++ b/src/gate/call-entry.ts
@@ -0,0 +1,157 @@
+/**
+ * The rules that a call passes on its way into the target, in the order in which they are asked. Each ends the call with
+ * one typed refusal (`gate-refusals.ts`), or lets it on. Owns what the call holds while it is let in: its part of the
+ * limit by kind and of the retry budget, its permit, and its claim. Pure: clock, admission and claims are injected.
+ *
+ * A gate asks three rules before there is a call, in `arrival-rules.ts`: whether there is a target, whether it is of the
+ * service that was meant, and whether the request is in quarantine. Then, here:
+ *
+ * 1. Leaving, first: a process that stops must not begin what it can't finish.
+ * 2. Limit by kind, before the queue: what it keeps out is to go elsewhere at once and not to wait first.
+ * 3. Retry budget, after the rules that set nothing aside: a repeat that it lets in counts until it arrives or ends.
+ * 4. Admission: a slot of the target, at once or after a wait. The call holds a permit from here on, and its deadline is
+ *    watched.
+ * 5. Claim of the idempotency key, last: a claimed key says that its call may have run, so only a call that is about to be
+ *    sent claims one.
+ */
+import type {
+  AdmissionPermit,
+  AdmissionRefusal,
+  PendingAdmission,
+} from '../admission/admission-controller.js';
+import type { SampleOutcome } from '../admission/concurrency-limiter.js';
+import type { CallContext } from '../call/call-context.js';
+import type { ClaimDecision, ClaimHandle } from '../dedup/claim.js';
+import type { CallRules } from './call-rules.js';
+import {
+  claimRefusal,
+  kindLimitRefusal,
+  leavingRefusal,
+  notAdmittedRefusal,
+  retryBudgetRefusal,
+  type GateRefusal,
+} from './gate-refusals.js';
+import type { InboundServices } from './inbound-services.js';
+
+/** Told how far the call gets, possibly before {@link CallEntry.start} returns. */
+export interface EntryListener {
+  /** The call holds a permit. @param waitedLong whether its wait counts as congestion */
+  onAdmitted(waitedLong: boolean): void;
+  /** Every rule has let the call in: it is to be sent now. */
+  onEntered(): void;
+  /** A rule has refused the call. Nothing follows. */
+  onRefused(refusal: GateRefusal): void;
+}
+
+export class CallEntry {
+  private readonly startedAt: number;
+  private pending: PendingAdmission | undefined;
+  private permit: AdmissionPermit | undefined;
+  private permitAt = 0;
+  private heldClaim: ClaimHandle | undefined;
+  private isClosed = false;
+
+  /**
+   * @param claimKey scope and idempotency key of a call that may run at most once; undefined for
+   *   all other calls
+   */
+  constructor(
+    private readonly context: CallContext,
+    private readonly claimKey: string | undefined,
+    private readonly services: InboundServices,
+    private readonly rules: CallRules,
+    private readonly listener: EntryListener,
+  ) {
+    this.startedAt = services.clock.now();
+  }
+
+  /** The claim of the call's key, to be told what becomes of the call. */
+  get claim(): ClaimHandle | undefined {
+    return this.heldClaim;
+  }
+
+  /** When the permit was given, in milliseconds of the clock. */
+  get admittedAt(): number {
+    return this.permitAt;
+  }
+
+  /** Asks the rules in their order. */
+  start(): void {
+    const refusal = this.askLeaving() ?? this.askKindLimit() ?? this.askRetryBudget();
+    if (refusal === undefined) this.askAdmission();
+    else this.listener.onRefused(refusal);
+  }
+
+  /** Gives up waiting for a permit. */
+  withdraw(): void {
+    this.pending?.cancel();
+  }
+
+  /** Gives back what the call holds, but for its claim. Further calls do nothing. */
+  leave(outcome: SampleOutcome, nestedMs: number): void {
+    this.rules.leave();
+    const { permit } = this;
+    this.permit = undefined;
+    permit?.release(outcome, nestedMs);
+  }
+
+  /** The call is over: a decision on its claim that comes later counts no more. */
+  close(): void {
+    this.isClosed = true;
+  }
+
+  private askLeaving(): GateRefusal | undefined {
+    return this.services.isLeaving(this.context.kind) ? leavingRefusal() : undefined;
+  }
+
+  private askKindLimit(): GateRefusal | undefined {
+    const reached = this.rules.enterKind();
+    return reached === undefined ? undefined : kindLimitRefusal(reached);
+  }
+
+  private askRetryBudget(): GateRefusal | undefined {
+    return this.rules.enterRepeat() ? undefined : retryBudgetRefusal();
+  }
+
+  private askAdmission(): void {
+    const { group, groupRank, kind, importance, deadlineAt, waitUntil } = this.context;
+    this.pending = this.services.admission.offer(
+      { group, groupRank, kind, importance, deadlineAt, waitUntil },
+      {
+        onAdmitted: (permit) => this.onAdmitted(permit),
+        onRefused: (reason, retryAfterSeconds) => this.onNotAdmitted(reason, retryAfterSeconds),
+      },
+    );
+  }
+
+  private onNotAdmitted(reason: AdmissionRefusal, retryAfterSeconds: number): void {
+    if (reason !== 'leaving') this.rules.onNotAdmitted();
+    this.listener.onRefused(notAdmittedRefusal(reason, retryAfterSeconds));
+  }
+
+  private onAdmitted(permit: AdmissionPermit): void {
+    this.permit = permit;
+    this.permitAt = this.services.clock.now();
+    this.listener.onAdmitted(this.rules.onAdmitted(this.permitAt - this.startedAt));
+    this.askClaim();
+  }
+
+  private askClaim(): void {
+    if (this.claimKey === undefined) {
+      this.listener.onEntered();
+      return;
+    }
+    const { claims } = this.services;
+    this.heldClaim = claims.claim(this.claimKey, (decision) => this.onClaim(decision));
+  }
+
+  private onClaim(decision: ClaimDecision): void {
+    if (this.isClosed) return;
+    if (decision.type === 'granted') {
+      this.listener.onEntered();
+      return;
+    }
+    this.heldClaim = undefined;
+    this.listener.onRefused(claimRefusal(decision));
+  }
+}
--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -9,11 +9,12 @@
 import type { CallContext } from '../call/call-context.js';
 import type { CallDurations } from '../call/call-durations.js';
 import type { CallStats } from '../call/call-stats.js';
+import { arrivalRefusal, type ArrivalRefusal } from './arrival-rules.js';
 import { gateContext, gateOptions } from './gate-policy.js';
 import { InboundCall } from './inbound-call.js';
 import { GateCallRules } from './gate-call-rules.js';
 import type { GateServices, InboundResult } from './inbound-services.js';
-import { CrashNote, unbegunOutcome, type Outcome } from '../call/outcome.js';
+import { unbegunOutcome, type Outcome } from '../call/outcome.js';
 import type { RefusalReason } from '../call/refusal.js';
 import type { RequestJournal } from '../call/request-journal.js';
 
@@ -75,18 +76,13 @@
     const { context, incoming } = this;
     this.onOver = onOver;
     stats.onStart();
-    const present = service();
-    if (present === undefined) {
-      // Callers leave this endpoint alone until its next incarnation.
-      this.refuseUnbegun('leaving', 'There is no target now.');
-      return;
-    }
-    if (context.service !== present) {
-      this.refuseUnbegun('unavailable', 'The target is of another service.');
-      return;
-    }
-    if (services.crashGuard.isQuarantined(context.fingerprint ?? '')) {
-      this.refuseUnbegun('unavailable', 'Targets crash under the request.', CrashNote.Quarantined);
+    const refused = arrivalRefusal({
+      service: context.service,
+      presentService: service(),
+      isQuarantined: () => services.crashGuard.isQuarantined(context.fingerprint ?? ''),
+    });
+    if (refused !== undefined) {
+      this.refuseUnbegun(refused);
       return;
     }
     const call: InboundCall = new InboundCall(
@@ -134,10 +130,10 @@
     this.finish();
   }
 
-  private refuseUnbegun(reason: RefusalReason, cause: string, crashNote?: CrashNote): void {
+  private refuseUnbegun({ reason, detail, crashNote }: ArrivalRefusal): void {
     const outcome = unbegunOutcome(reason, this.context.retries);
     const noted = crashNote === undefined ? outcome : { ...outcome, crashNote };
-    this.refuse(reason, noted, cause);
+    this.refuse(reason, noted, detail);
   }
 
   private refuse(reason: RefusalReason, outcome: Outcome, cause: string): void {
