--- a/src/admission/admission-controller.ts
+++ b/src/admission/admission-controller.ts
@@ -6,15 +6,16 @@
 import type { RandomSource } from '../common/random.js';
 import type { Importance } from '../policy/importance.js';
 import type { ConcurrencyLimiter, SampleOutcome } from './concurrency-limiter.js';
-import { GroupUsage } from './group-usage.js';
 import { HeldTimes } from './held-times.js';
+import { ShareClassUsage } from './share-class-usage.js';
 import type { SharingOrder } from './sharing-policy.js';
-import { WaitingCalls, type GroupState, type WaitingCall } from './waiting-calls.js';
+import { WaitingCalls, type ShareClassState, type WaitingCall } from './waiting-calls.js';
 import { notAdmittedSeconds } from '../call/retry-after.js';
 
 /** A call that asks to be let in. */
 export interface AdmissionRequest {
-  readonly group: string;
+  /** The class of calls that share the target's slots with each other. */
+  readonly shareClass: string;
   readonly kind: string;
   readonly importance: Importance;
   /** Rank of the caller's group, 0 the most urgent; comes before the importance. Default 0. */
@@ -65,9 +66,9 @@
   readonly random: RandomSource;
   readonly limiter: ConcurrencyLimiter;
   readonly order: SharingOrder;
-  /** Weight of a group. */
-  readonly shareOf: (group: string) => number;
-  /** Sum of the weights of all declared groups. */
+  /** Weight of a share class. */
+  readonly shareOf: (shareClass: string) => number;
+  /** Sum of the weights of all share classes. */
   readonly totalShare: () => number;
   /** Longest time a call may wait, in milliseconds. */
   readonly queueWaitMs: () => number;
@@ -86,7 +87,7 @@
 
 class QueuedCall implements WaitingCall, PendingAdmission {
   timer: Timer | undefined;
-  readonly group: string;
+  readonly shareClass: string;
   readonly importance: Importance;
   readonly groupRank: number;
   readonly waitUntil: number | undefined;
@@ -96,7 +97,7 @@
     readonly request: AdmissionRequest,
     readonly listener: AdmissionListener,
   ) {
-    this.group = request.group;
+    this.shareClass = request.shareClass;
     this.importance = request.importance;
     this.groupRank = request.groupRank ?? 0;
     this.waitUntil = request.waitUntil;
@@ -127,7 +128,7 @@
     this.waiting = new WaitingCalls<QueuedCall>(
       options.order,
       (state, extraCalls) => this.shareUse(state, extraCalls),
-      () => new GroupUsage(),
+      () => new ShareClassUsage(),
     );
   }
 
@@ -251,8 +252,8 @@
     const startedAt = this.options.clock.now();
     this.inFlight += 1;
     this.admittedRecently += 1;
-    const group = this.waiting.group(request.group);
-    group.usage.change(1, startedAt);
+    const { usage } = this.waiting.shareClass(request.shareClass);
+    usage.change(1, startedAt);
     const inFlightAtStart = this.inFlight;
     let released = false;
     listener.onAdmitted({
@@ -261,7 +262,7 @@
         released = true;
         const now = this.options.clock.now();
         this.inFlight -= 1;
-        group.usage.change(-1, now);
+        usage.change(-1, now);
         this.learn(request.kind, startedAt, now, inFlightAtStart, outcome, nestedMs);
         this.dispatch();
       },
@@ -283,7 +284,7 @@
     this.options.limiter.onSample(sample, now);
   }
 
-  private shareUse(state: GroupState<QueuedCall>, extraCalls: number): number {
+  private shareUse(state: ShareClassState<QueuedCall>, extraCalls: number): number {
     const { limiter, shareOf, totalShare, clock } = this.options;
     const capacity = limiter.limit + (extraCalls > 0 ? this.queueCapacity() : 0);
     const share = (shareOf(state.name) / totalShare()) * capacity;
--- a/src/admission/call-throttle.ts
+++ b/src/admission/call-throttle.ts
@@ -1,6 +1,6 @@
-/** Early refusal at the caller, from what answers tell of the load below. One policy a file. */
+/** Early refusal at the caller, from what answers report of the load downstream. */
 
-/** What an answer tells of the load below. */
+/** What an answer reports of the load downstream. */
 export interface CongestionReport {
   /** The call, or one made on its behalf, was refused for overload or waited long. */
   readonly overloaded: boolean;
--- a/src/admission/congestion-level.ts
+++ b/src/admission/congestion-level.ts
@@ -1,5 +1,5 @@
 /**
- * How much of the calls at one place is held up or refused: a moving average that fades without calls.
+ * Which part of the calls at one place is delayed or refused: a moving average that fades without calls.
  * Sidecars keep one of the calls that wait for their target and one of the calls that their target
  * makes. A target passes no context on, so its calls can't be tied to the ones it is working on: each
  * of its answers carries the level of all.
@@ -21,7 +21,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** A call ended. @param congestion from 0, not held up, to 1, refused for overload or held up */
+  /** A call ended. @param congestion from 0, neither refused nor delayed, to 1, refused for overload or delayed */
   onCall(congestion: number): void {
     const before = this.current();
     const now = this.clock.now();
--- a/src/admission/kind-impact.ts
+++ b/src/admission/kind-impact.ts
@@ -1,7 +1,7 @@
 /**
- * Which kinds of call are held up by what is congested below their target. A target makes calls for some
+ * Which kinds of call are delayed by congestion downstream of their target. A target makes calls for some
  * kinds and none for others, and does not say for which: a kind that takes about as long as ever, and
- * succeeds, while calls below are held up is not one of them.
+ * succeeds, while calls downstream are congested is not one of them.
  */
 import type { Clock } from '../common/clock.js';
 
@@ -18,7 +18,7 @@
 const FAILED_RATIO = 2.5;
 const MAX_RATIO = 4;
 /**
- * Recent time over usual time from which a kind counts as held up, and as fully held up. Chosen in the
+ * Recent time over usual time from which a kind counts as delayed, and as fully delayed. Chosen in the
  * simulation (docs/design/platform.md); time limits may lie at 1.5 times the usual time.
  */
 const LEAST_RATIO = 1.2;
@@ -26,17 +26,17 @@
 /** Kinds that are remembered; routes come and go with the configuration. */
 const MAX_KINDS = 1_000;
 const FIRST_SERVER_ERROR = 500;
-/** Part of the calls below up to which they count as not held up: chance waits. */
+/** Part of the downstream calls up to which they count as not congested: chance waits. Not measured. */
 const CALM_LEVEL = 0.05;
 
-/** Whether calls below are held up so little that answers tell the usual time of their kinds. */
+/** Whether calls downstream are congested so little that answers tell the usual time of their kinds. */
 export function isCalm(level: number): boolean {
   return level <= CALM_LEVEL;
 }
 
 interface KindTimes {
   answers: number;
-  /** Those while nothing below was held up. */
+  /** Those while nothing downstream was congested. */
   calmAnswers: number;
   answeredAt: number;
   recentMs: number;
@@ -51,7 +51,7 @@
   /**
    * The target answered a call.
    * @param heldMs time that the call was in the target, in milliseconds
-   * @param calm whether nothing below was held up; a process that starts under an overload is not to
+   * @param calm whether nothing downstream was congested; a process that starts under an overload is not to
    *   take what it sees for usual
    */
   onAnswer(kind: string, heldMs: number, status: number, calm = true): void {
@@ -68,7 +68,7 @@
     times.answeredAt = this.clock.now();
   }
 
-  /** How much congestion below the target holds a kind up, 0 to 1; 1 where that is not known. */
+  /** How much congestion downstream of the target delays a kind, 0 to 1; 1 where that is not known. */
   of(kind: string): number {
     const times = this.kinds.get(kind);
     if (times === undefined || times.calmAnswers < MIN_ANSWERS) return 1;
--- a/src/admission/kind-limiter.ts
+++ b/src/admission/kind-limiter.ts
@@ -1,7 +1,7 @@
 /**
  * Bounds how many requests of each kind are under way at one target while calls that the target makes are
- * held up. Such requests hold few slots' worth of work, so the limit of the target itself does not bite;
- * they pile up before a service further down, and all of them are answered late.
+ * congested. Such requests hold few slots' worth of work, so the limit of the target itself does not bite;
+ * they pile up before a service downstream, and all of them are answered late.
  *
  * By Little's law, requests that are answered at a rate of X a millisecond and are to take T milliseconds
  * are X * T at a time. So the limit follows the measured rate of successful answers times the wanted time.
@@ -16,12 +16,12 @@
 /** Time constant with which the limit follows rate times wanted time, in milliseconds. Chosen there too. */
 const APPROACH_MS = 200;
 /**
- * While nothing is held up the limit doubles in this time, in milliseconds: about as long as answers take
+ * While nothing is congested the limit doubles in this time, in milliseconds: about as long as answers take
  * to tell that too many were let in. Chosen in the simulation.
  */
 const DOUBLES_MS = 1_000;
 /**
- * Limit of a kind of which nothing is known yet. Until calls are held up for the first time each answer raises
+ * Limit of a kind of which nothing is known yet. Until calls are congested for the first time each answer raises
  * it by one, so that it doubles in the time of an answer: a process that starts while clients press lets in no
  * more than it has seen answered. Chosen in the simulation.
  */
@@ -37,7 +37,7 @@
 const LONG_RUN_MS = 1_000;
 /** Part of the first limit that is in use where it proves too small. */
 const USED_PART = 0.5;
-/** A limit this many times above what is under way, while nothing is held up, is dropped. */
+/** A limit this many times above what is under way, while nothing is congested, is dropped. */
 const DROPPED_ABOVE = 4;
 /** Kinds that are remembered; routes come and go with the configuration. */
 const MAX_KINDS = 1_000;
@@ -47,8 +47,8 @@
   /** Time that the request should have been in the target at most, in milliseconds. */
   readonly maxTargetMs: number;
   readonly succeeded: boolean;
-  /** Whether calls that the target makes for this kind are held up. */
-  readonly isHeldUp: boolean;
+  /** Whether calls that the target makes for this kind are congested. */
+  readonly isCongested: boolean;
 }
 
 /** What the calls that the target makes are like when a request asks to be let in. */
@@ -88,7 +88,7 @@
   inFlight: number;
   /** Infinity where there is no limit. */
   limit: number;
-  /** Whether calls were never held up yet. */
+  /** Whether calls were never congested yet. */
   isStarting: boolean;
   /** Successful answers a millisecond. */
   rate: number;
@@ -131,7 +131,7 @@
     state.rate *= Math.exp(-elapsedMs / RATE_MS);
     if (answer.succeeded) state.rate += 1 / RATE_MS;
     const stepMs = Math.min(elapsedMs, MAX_STEP_MS);
-    if (answer.isHeldUp) tighten(state, answer.maxTargetMs, stepMs);
+    if (answer.isCongested) tighten(state, answer.maxTargetMs, stepMs);
     else relax(state, stepMs);
   }
 
@@ -172,7 +172,7 @@
 }
 
 /**
- * No answer has come for long, but requests run and their calls are not held up: more are let in the longer that lasts, as
+ * No answer has come for long, but requests run and their calls are not congested: more are let in the longer that lasts, as
  * long as the limit is made use of. With answers alone 6 of 40 requests got in whose runs take 4.6 s.
  */
 function growWithoutAnswer(state: KindState, now: number): void {
@@ -181,7 +181,7 @@
   state.limit *= 2 ** (Math.min(now - state.askedAt, MAX_STEP_MS) / DOUBLES_MS);
 }
 
-/** Calls below are held up: follows what can be answered in the wanted time. */
+/** Calls downstream are congested: follows what can be answered in the wanted time. */
 function tighten(state: KindState, maxTargetMs: number, stepMs: number): void {
   const answerable = state.rate * maxTargetMs;
   state.isStarting = false;
@@ -190,7 +190,7 @@
   state.limit = Math.max(MIN_LIMIT, state.limit + weight * (answerable - state.limit));
 }
 
-/** Nothing is held up: more are let in, until the limit means nothing. */
+/** Nothing is congested: more are let in, until the limit means nothing. */
 function relax(state: KindState, stepMs: number): void {
   if (state.isStarting) state.limit += 1;
   else state.limit *= 2 ** (stepMs / DOUBLES_MS);
--- a/src/admission/group-usage.ts
+++ b/src/admission/share-class-usage.ts
@@ -1,9 +1,9 @@
-/** A group's recent use of a target: its calls inside the target, averaged over about a second. */
+/** A share class's recent use of a target: its calls inside the target, averaged over about a second. */
 
 /** Time constant of the average, in milliseconds. */
 const AVERAGING_MS = 1_000;
 
-export class GroupUsage {
+export class ShareClassUsage {
   private average = 0;
   private updatedAt = 0;
   private current = 0;
@@ -15,7 +15,7 @@
   }
 
   /**
-   * The use that is compared with the group's share: half the recent average, so that a group that
+   * The use that is compared with the class's share: half the recent average, so that a class that
    * was short of its share catches up, and half the present value, so that a burst does not take
    * every slot at once.
    */
--- a/src/admission/sharing-policy.ts
+++ b/src/admission/sharing-policy.ts
@@ -4,12 +4,12 @@
  */
 import type { Importance } from '../policy/importance.js';
 
-/** The calls of one group and importance that wait at a node. */
+/** The calls of one share class, rank and importance that wait at a node. */
 export interface SharingCandidate {
   readonly importance: Importance;
   /** Rank of the callers' groups, 0 the most urgent; comes before the importance. */
   readonly groupRank: number;
-  /** The group's use of the target relative to its share; below 1 it is within its share. */
+  /** The class's use of the target relative to its share; below 1 it is within its share. */
   readonly shareUse: number;
 }
 
@@ -28,7 +28,7 @@
   return candidate.shareUse < 1;
 }
 
-/** Groups within their share first; capacity they leave idle goes by importance, then by share. */
+/** Share classes within their share first; capacity they leave idle goes by importance, then by share. */
 const shareFirst: SharingOrder = (first, second) => {
   const firstWithin = isWithinShare(first);
   const secondWithin = isWithinShare(second);
@@ -36,7 +36,7 @@
   return byImportance(first, second) || byShareUse(first, second);
 };
 
-/** Importance alone, shares only among equals: a flood of important calls starves other groups. */
+/** Importance alone, shares only among equals: a flood of important calls starves other share classes. */
 const importanceFirst: SharingOrder = (first, second) =>
   byImportance(first, second) || byShareUse(first, second);
 
--- a/src/admission/waiting-calls.ts
+++ b/src/admission/waiting-calls.ts
@@ -1,14 +1,15 @@
 /**
- * The calls that wait at a node, by group, rank of the caller and importance. Within each, the one that must be let in
+ * The calls that wait at a node, by share class, rank of the caller's group and importance. Within each, the one that must be let in
  * first comes first; calls without a bound of their own stay in the order in which they came.
  */
 import { IMPORTANCE_COUNT, type Importance } from '../policy/importance.js';
-import type { GroupUsage } from './group-usage.js';
+import type { ShareClassUsage } from './share-class-usage.js';
 import type { SharingCandidate, SharingOrder } from './sharing-policy.js';
 
 /** A call that waits. */
 export interface WaitingCall {
-  readonly group: string;
+  /** The class of calls that it shares the slots of the target with. */
+  readonly shareClass: string;
   readonly importance: Importance;
   /** Rank of the caller's group, 0 the most urgent. */
   readonly groupRank: number;
@@ -16,15 +17,15 @@
   readonly waitUntil?: number | undefined;
 }
 
-/** Everything a node keeps about one group. */
-export class GroupState<Call extends WaitingCall> {
+/** Everything that is kept about one share class. */
+export class ShareClassState<Call extends WaitingCall> {
   /** Calls by the rank of the caller's group, then by importance. */
   private readonly waiting = new Map<number, Call[][]>();
   waitingCount = 0;
 
   constructor(
     readonly name: string,
-    readonly usage: GroupUsage,
+    readonly usage: ShareClassUsage,
   ) {}
 
   /** The calls that wait with this rank and importance. */
@@ -47,27 +48,27 @@
   }
 }
 
-/** One group and importance with at least one waiting call. */
+/** One share class, rank and importance with at least one waiting call. */
 interface Queue<Call extends WaitingCall> extends SharingCandidate {
   readonly calls: Call[];
-  readonly state: GroupState<Call>;
+  readonly state: ShareClassState<Call>;
 }
 
-/** How much of its share a group uses, given the calls to count besides those in the target. */
+/** How much of its share a class uses, given the calls to count besides those in the target. */
 export type ShareUseOf<Call extends WaitingCall> = (
-  state: GroupState<Call>,
+  state: ShareClassState<Call>,
   extraCalls: number,
 ) => number;
 
-/** Waiting calls of all groups, and the choice of the next to let in or to refuse. */
+/** Waiting calls of all share classes, and the choice of the next to let in or to refuse. */
 export class WaitingCalls<Call extends WaitingCall> {
-  private readonly groups = new Map<string, GroupState<Call>>();
+  private readonly shareClasses = new Map<string, ShareClassState<Call>>();
   private total = 0;
 
   constructor(
     private readonly order: SharingOrder,
     private readonly shareUseOf: ShareUseOf<Call>,
-    private readonly createUsage: () => GroupUsage,
+    private readonly createUsage: () => ShareClassUsage,
   ) {}
 
   /** Number of waiting calls. */
@@ -75,18 +76,18 @@
     return this.total;
   }
 
-  /** The state of a group, made when it is first seen. */
-  group(name: string): GroupState<Call> {
-    let state = this.groups.get(name);
+  /** The state of a share class, made when it is first seen. */
+  shareClass(name: string): ShareClassState<Call> {
+    let state = this.shareClasses.get(name);
     if (state === undefined) {
-      state = new GroupState<Call>(name, this.createUsage());
-      this.groups.set(name, state);
+      state = new ShareClassState<Call>(name, this.createUsage());
+      this.shareClasses.set(name, state);
     }
     return state;
   }
 
   add(call: Call): void {
-    const state = this.group(call.group);
+    const state = this.shareClass(call.shareClass);
     insertByExpiry(state.calls(call), call);
     state.waitingCount += 1;
     this.total += 1;
@@ -94,7 +95,7 @@
 
   /** Removes a call that waits; false when it does not. */
   remove(call: Call): boolean {
-    const state = this.group(call.group);
+    const state = this.shareClass(call.shareClass);
     const calls = state.calls(call);
     const index = calls.indexOf(call);
     if (index < 0) return false;
@@ -128,11 +129,11 @@
 
   /**
    * The queues with waiting calls.
-   * @param countWaiting whether the calls that wait count towards their group's use: when choosing
-   *   whom to refuse they do, so that a group is judged by what it asks for
+   * @param countWaiting whether the calls that wait count towards their class's use: when choosing
+   *   whom to refuse they do, so that a class is judged by what it asks for
    */
   private *queues(countWaiting: boolean): Iterable<Queue<Call>> {
-    for (const state of this.groups.values()) {
+    for (const state of this.shareClasses.values()) {
       if (state.waitingCount === 0) continue;
       const shareUse = this.shareUseOf(state, countWaiting ? state.waitingCount : 0);
       for (const queue of state.queues()) yield { ...queue, shareUse, state };
--- a/src/gate/call-entry.ts
+++ b/src/gate/call-entry.ts
@@ -114,9 +114,9 @@
   }
 
   private askAdmission(): void {
-    const { group, groupRank, kind, importance, deadlineAt, waitUntil } = this.context;
+    const { group: shareClass, groupRank, kind, importance, deadlineAt, waitUntil } = this.context;
     this.pending = this.services.admission.offer(
-      { group, groupRank, kind, importance, deadlineAt, waitUntil },
+      { shareClass, groupRank, kind, importance, deadlineAt, waitUntil },
       {
         onAdmitted: (permit) => this.onAdmitted(permit),
         onRefused: (reason, retryAfterSeconds) => this.onNotAdmitted(reason, retryAfterSeconds),
--- a/src/gate/gate-call-rules.ts
+++ b/src/gate/gate-call-rules.ts
@@ -7,7 +7,7 @@
 import type { WatchedRun } from '../quarantine/crash-watch.js';
 import type { RepeatRoom } from '../retry/repeat-room.js';
 import type { CallRules } from './call-rules.js';
-import { toldCongestion } from './gate-congestion.js';
+import { reportedCongestion } from './gate-congestion.js';
 import type { GateServices } from './inbound-services.js';
 import type { KindRefusal } from './kind-refusal.js';
 import { KindUse } from './kind-use.js';
@@ -84,7 +84,7 @@
 
   congestion(): number {
     const queueLevel = this.queueLevel.current();
-    return toldCongestion(this.services, this.context.kind, this.isNested, queueLevel);
+    return reportedCongestion(this.services, this.context.kind, this.isNested, queueLevel);
   }
 
   private get queueLevel(): CongestionLevel {
--- a/src/gate/gate-congestion.ts
+++ b/src/gate/gate-congestion.ts
@@ -1,18 +1,18 @@
-/** How congested a gate says that it is, with each outcome. Pure. */
+/** The congestion level that a gate reports with each outcome. Pure. */
 import type { KindServices } from './kind-use.js';
 
 /**
- * The level of what waits here and below, where this process keeps it. What waits here concerns
+ * The level of what waits here and downstream. What waits here concerns
  * those that work is lost with: callers of nested calls. A client's request that is refused here has
  * cost nothing yet, so it need not be refused any earlier.
  *
- * A call that a target made passes the level below on in full if it is held up at all: weighed at each
+ * A call that a target made passes the downstream level on in full if it is delayed by it at all: weighed at each
  * of several gates the level would be gone before it reaches those that can refuse early. It is weighed
  * once, at the gate of the client's request.
  *
  * @param queueLevel part of the calls of this importance that wait long or are refused here, 0 to 1
  */
-export function toldCongestion(
+export function reportedCongestion(
   { downstreamLevel, kindImpact }: KindServices,
   kind: string,
   isNested: boolean,
--- a/src/gate/gate-policy.ts
+++ b/src/gate/gate-policy.ts
@@ -19,25 +19,25 @@
 const CONGESTED_WAIT_FRACTION = 0.3;
 
 /** Who shares the slots of a target: requests of clients, and calls that targets make. */
-export enum GateGroup {
+export enum GateShareClass {
   Clients = 'clients',
   Targets = 'targets',
 }
 
 /**
- * Share of the slots of each group; what one leaves goes to the other by importance. Calls of targets come
+ * Share of the slots of each class; what one leaves goes to the other by importance. Calls of targets come
  * first otherwise, since work is lost with them, and would leave nothing to requests that need a full service
  * themselves. Chosen in the simulation: 0.4 for clients costs the others 0.01 of their worth.
  */
 const GATE_SHARES: Readonly<Record<string, number>> = {
-  [GateGroup.Clients]: 0.25,
-  [GateGroup.Targets]: 0.75,
+  [GateShareClass.Clients]: 0.25,
+  [GateShareClass.Targets]: 0.75,
 };
 
 /** How the calls of a gate share its target. */
 export const GATE_SHARING = {
   order: SHARING_ORDERS['share-first'],
-  shareOf: (group: string): number => GATE_SHARES[group] ?? 0,
+  shareOf: (shareClass: string): number => GATE_SHARES[shareClass] ?? 0,
   totalShare: (): number => 1,
 } as const;
 
@@ -48,7 +48,7 @@
   const maxWaitMs = isNested ? deadlineMs * NESTED_WAIT_FRACTION : 0;
   return {
     requestId,
-    group: isNested ? GateGroup.Targets : GateGroup.Clients,
+    group: isNested ? GateShareClass.Targets : GateShareClass.Clients,
     kind,
     service,
     retries,
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -9,7 +9,7 @@
 /** What the gate keeps of all kinds. */
 export interface KindServices {
   readonly clock: Clock;
-  /** Part of the calls that the target makes which are held up, 0 to 1. */
+  /** Part of the calls that the target makes which are congested, 0 to 1. */
   readonly downstreamLevel: () => number;
   /** Learns which kinds of call that level holds up. */
   readonly kindImpact: KindImpact;
@@ -60,7 +60,7 @@
     kindLimiter.onAnswer(kind, {
       maxTargetMs: this.maxTargetMs,
       succeeded: status < FIRST_SERVER_ERROR,
-      isHeldUp: this.isCongested(level),
+      isCongested: this.isCongested(level),
     });
   }
 
--- a/test/admission/group-rank.test.ts
+++ b/test/admission/group-rank.test.ts
@@ -6,7 +6,7 @@
 import { FixedLimiter } from '../../src/admission/fixed-limiter.js';
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { GATE_SHARING, GateGroup } from '../../src/gate/gate-policy.js';
+import { GATE_SHARING, GateShareClass } from '../../src/gate/gate-policy.js';
 import type { Importance } from '../../src/policy/importance.js';
 
 /** Requests of groups of several ranks press on a target of one slot; all of them come while it is busy. */
@@ -31,7 +31,12 @@
   });
 
   function offer(name: string, groupRank: number, importance: Importance): void {
-    const request = { group: GateGroup.Clients, kind: 'k', deadlineAt: 5_000, waitUntil: 900 };
+    const request = {
+      shareClass: GateShareClass.Clients,
+      kind: 'k',
+      deadlineAt: 5_000,
+      waitUntil: 900,
+    };
     admission.offer(
       { ...request, groupRank, importance },
       {
--- a/test/admission/unlike-kinds.test.ts
+++ b/test/admission/unlike-kinds.test.ts
@@ -18,7 +18,7 @@
     const offer = (kind: string, limitMs: number): void => {
       const until = clock.now() + limitMs;
       controller.offer(
-        { group: 'g', kind, importance: 1, deadlineAt: until, waitUntil: until },
+        { shareClass: 'g', kind, importance: 1, deadlineAt: until, waitUntil: until },
         {
           onAdmitted: (given) => {
             permit = given;
