--- a/src/admission/admission-controller.ts
+++ b/src/admission/admission-controller.ts
@@ -1,6 +1,8 @@
 /**
- * Decides at a node which calls enter the target, which wait, and which are refused. Pure: it is
- * given a clock and a random source, and answers through the listener of each call.
+ * Decides which calls enter the target, which wait, and which are refused. Asked once for each call. Owns the calls in the
+ * target, those that wait, and the times that calls took; relies on the limiter for the room, on `queue-wait.ts` for who
+ * may wait, and on the sharing order for who comes first and who is refused first. Pure: it is given a clock and a random
+ * source, and answers through the listener of each call.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
@@ -9,8 +11,10 @@
 import { HeldTimes } from './held-times.js';
 import { ShareClassUsage } from './share-class-usage.js';
 import type { SharingOrder } from './sharing-policy.js';
+import { OfferedPressure } from './offered-pressure.js';
+import { decideWait, queueCapacity, waitOverReason, type WaitRequest } from './queue-wait.js';
 import { WaitingCalls, type ShareClassState, type WaitingCall } from './waiting-calls.js';
-import { notAdmittedSeconds } from '../call/retry-after.js';
+import { NO_RETRY_AFTER, notAdmittedSeconds } from '../call/retry-after.js';
 
 /** A call that asks to be let in. */
 export interface AdmissionRequest {
@@ -74,16 +78,8 @@
   readonly queueWaitMs: () => number;
 }
 
-const MIN_QUEUE_CAPACITY = 2;
-/**
- * Important calls may wait longer, in multiples of the declared wait: by importance, least first. They
- * pass the others in the queue, so a longer wait lets them through chance bursts.
- */
-const WAIT_FACTORS: readonly number[] = [1, 1, 2, 2];
-const LONGEST_WAIT_FACTOR = Math.max(...WAIT_FACTORS);
-/** Keeps a share above nothing, in calls. */
+/** Keeps a share above nothing, in calls, so that it can be divided by. */
 const MIN_SHARE = 1e-9;
-const OFFERED_MEMORY_MS = 1_000;
 
 class QueuedCall implements WaitingCall, PendingAdmission {
   timer: Timer | undefined;
@@ -108,6 +104,15 @@
   }
 }
 
+/** A call when it entered the target. */
+interface EnteredCall {
+  readonly kind: string;
+  /** Monotonic milliseconds. */
+  readonly startedAt: number;
+  /** Calls in the target then, itself included. */
+  readonly inFlight: number;
+}
+
 /** Stands for a call that has already been answered. */
 const ANSWERED: PendingAdmission = {
   cancel: () => {
@@ -120,9 +125,7 @@
   private readonly waiting: WaitingCalls<QueuedCall>;
   private inFlight = 0;
   private readonly heldTimes = new HeldTimes();
-  private offeredRecently = 0;
-  private admittedRecently = 0;
-  private recentlyAt = 0;
+  private readonly pressure = new OfferedPressure();
 
   constructor(private readonly options: AdmissionOptions) {
     this.waiting = new WaitingCalls<QueuedCall>(
@@ -144,10 +147,9 @@
   /** Asks for a call to be let in. */
   offer(request: AdmissionRequest, listener: AdmissionListener): PendingAdmission {
     const now = this.options.clock.now();
-    this.countRecent(now);
-    this.offeredRecently += 1;
+    this.pressure.onOffered(now);
     if (request.deadlineAt <= now) {
-      listener.onRefused('deadline', 0);
+      listener.onRefused('deadline', NO_RETRY_AFTER);
       return ANSWERED;
     }
     if (this.waiting.size === 0 && this.inFlight < this.options.limiter.limit) {
@@ -167,7 +169,7 @@
   refuseWaiting(): void {
     for (let call = this.waiting.takeLast(); call !== undefined; call = this.waiting.takeLast()) {
       call.timer?.cancel();
-      call.listener.onRefused('leaving', 0);
+      call.listener.onRefused('leaving', NO_RETRY_AFTER);
     }
   }
 
@@ -184,7 +186,7 @@
   /** A process that was frozen may find calls whose deadline passed meanwhile: they must not run. */
   private admitUnlessLate(call: QueuedCall): void {
     if (call.request.deadlineAt <= this.options.clock.now()) {
-      call.listener.onRefused('deadline', 0);
+      call.listener.onRefused('deadline', NO_RETRY_AFTER);
       return;
     }
     this.admit(call.request, call.listener);
@@ -195,30 +197,26 @@
     listener: AdmissionListener,
     now: number,
   ): PendingAdmission {
-    const call = new QueuedCall(this, request, listener);
-    const maxWaitMs = this.maxWaitMs(request, now);
-    if (maxWaitMs <= 0) {
-      const tooLate = request.deadlineAt - now < this.options.queueWaitMs();
-      listener.onRefused(tooLate ? 'deadline' : 'overload', this.retryAfterSeconds());
+    const decision = decideWait(this.waitRequest(request, now), this.options.queueWaitMs());
+    if (decision.type === 'refused') {
+      listener.onRefused(decision.reason, this.retryAfterSeconds());
       return ANSWERED;
     }
+    const call = new QueuedCall(this, request, listener);
     this.waiting.add(call);
-    call.timer = this.options.clock.schedule(maxWaitMs, () => this.giveUp(call));
+    call.timer = this.options.clock.schedule(decision.longestMs, () => this.giveUp(call));
     if (this.waiting.size > this.queueCapacity()) this.refuseLast();
     return call;
   }
 
-  /**
-   * How long a call may wait: no longer than declared for its importance, and only while it can still
-   * finish before its deadline.
-   */
-  private maxWaitMs(request: AdmissionRequest, now: number): number {
-    const usableMs = request.deadlineAt - now - this.expectedHeldMs(request);
-    const longestMs =
-      request.waitUntil === undefined
-        ? this.options.queueWaitMs() * WAIT_FACTORS[request.importance]!
-        : request.waitUntil - now;
-    return Math.min(longestMs, usableMs);
+  private waitRequest(request: AdmissionRequest, now: number): WaitRequest {
+    const { importance, deadlineAt, waitUntil } = request;
+    return {
+      importance,
+      remainingMs: deadlineAt - now,
+      ownWaitMs: waitUntil === undefined ? undefined : waitUntil - now,
+      expectedHeldMs: this.expectedHeldMs(request),
+    };
   }
 
   /** Time in the target that a call needs; a kind that was not answered yet is given the benefit. */
@@ -226,19 +224,16 @@
     return this.heldTimes.meanOf(kind) ?? 0;
   }
 
-  /** Calls that can be expected to enter within the longest wait. */
   private queueCapacity(): number {
-    const heldMs = Math.max(this.heldTimes.meanMs ?? 1, 0.1);
-    const longestMs = this.options.queueWaitMs() * LONGEST_WAIT_FACTOR;
-    const perWait = (this.options.limiter.limit * longestMs) / heldMs;
-    return Math.max(MIN_QUEUE_CAPACITY, Math.ceil(perWait));
+    const { limiter, queueWaitMs } = this.options;
+    return queueCapacity(limiter.limit, this.heldTimes.meanMs, queueWaitMs());
   }
 
   private giveUp(call: QueuedCall): void {
     if (!this.waiting.remove(call)) return;
     const remainingMs = call.request.deadlineAt - this.options.clock.now();
-    const tooLate = remainingMs <= this.expectedHeldMs(call.request);
-    call.listener.onRefused(tooLate ? 'deadline' : 'overload', this.retryAfterSeconds());
+    const reason = waitOverReason(remainingMs, this.expectedHeldMs(call.request));
+    call.listener.onRefused(reason, this.retryAfterSeconds());
   }
 
   private refuseLast(): void {
@@ -251,10 +246,10 @@
   private admit(request: AdmissionRequest, listener: AdmissionListener): void {
     const startedAt = this.options.clock.now();
     this.inFlight += 1;
-    this.admittedRecently += 1;
+    this.pressure.onAdmitted();
     const { usage } = this.waiting.shareClass(request.shareClass);
     usage.change(1, startedAt);
-    const inFlightAtStart = this.inFlight;
+    const entered: EnteredCall = { kind: request.kind, startedAt, inFlight: this.inFlight };
     let released = false;
     listener.onAdmitted({
       release: (outcome, nestedMs) => {
@@ -263,17 +258,15 @@
         const now = this.options.clock.now();
         this.inFlight -= 1;
         usage.change(-1, now);
-        this.learn(request.kind, startedAt, now, inFlightAtStart, outcome, nestedMs);
+        this.learn(entered, now, outcome, nestedMs);
         this.dispatch();
       },
     });
   }
 
   private learn(
-    kind: string,
-    startedAt: number,
+    { kind, startedAt, inFlight }: EnteredCall,
     now: number,
-    inFlight: number,
     outcome: SampleOutcome,
     nestedMs: number,
   ): void {
@@ -284,6 +277,7 @@
     this.options.limiter.onSample(sample, now);
   }
 
+  /** How much of its share a class uses; room in the queue counts where calls that wait do. */
   private shareUse(state: ShareClassState<QueuedCall>, extraCalls: number): number {
     const { limiter, shareOf, totalShare, clock } = this.options;
     const capacity = limiter.limit + (extraCalls > 0 ? this.queueCapacity() : 0);
@@ -293,16 +287,6 @@
 
   /** Seconds for `Retry-After`, by how much more is offered than let in. */
   private retryAfterSeconds(): number {
-    const pressure = this.offeredRecently / Math.max(1, this.admittedRecently);
-    return notAdmittedSeconds(pressure, this.options.random);
-  }
-
-  /** Lets the counts behind {@link retryAfterSeconds} fade. */
-  private countRecent(now: number): void {
-    const elapsedMs = now - this.recentlyAt;
-    this.recentlyAt = now;
-    const kept = Math.exp(-elapsedMs / OFFERED_MEMORY_MS);
-    this.offeredRecently *= kept;
-    this.admittedRecently *= kept;
+    return notAdmittedSeconds(this.pressure.current(), this.options.random);
   }
 }
