--- a/src/gate/gate-policy.ts
+++ b/src/gate/gate-policy.ts
@@ -1,20 +1,31 @@
-/** What a gate decides about a call before it asks for admission. Pure. */
+/**
+ * How long calls wait at a gate, and how they share its target: what a gate adds to a call before any rule is asked. Asked
+ * once for each call that comes in a frame; relies on the origin tracker for whether a target makes it. Pure.
+ */
 import { SHARING_ORDERS } from '../admission/sharing-policy.js';
 import type { CallFrameContext } from '../link/link-frames.js';
-import { LOWEST_IMPORTANCE, parseImportance, type Importance } from '../policy/importance.js';
+import { LOWEST_IMPORTANCE, parseImportance } from '../policy/importance.js';
 import type { CallContext } from '../call/call-context.js';
 import type { GateCallOptions } from './gate-call-rules.js';
 
-/** Part of a target's slots that is used. Some targets slow down when they are nearly full. */
+/**
+ * Part of a target's slots that is used: targets that are nearly full may slow down, by 1.3 above 0.95 on one customer's.
+ * Simulated targets don't, and with all slots used worth rose from 0.769 to 0.803 on the fan-in graph at 2.4 times demand
+ * (docs/rounds/order-mesh.md).
+ */
 export const SLOT_FRACTION = 0.95;
-/** Bounds the queue: every call carries a bound of its own on its wait. In milliseconds. */
+/** Bounds the queue: every call carries a bound of its own on its wait. In milliseconds. Not measured. */
 export const QUEUE_WAIT_MS = 1_000;
 
-/** Part of its remaining time that a call of a target may wait: its caller's work is lost with it. */
+/**
+ * Part of its remaining time that a call of a target may wait: its caller's work is lost with it. Long waits hold slots of
+ * the callers. With limits by kind 0.2 is worth the same: 0.769 and 0.827 after 0.769 and 0.815 (fan-in graph at 2.4, deep
+ * search graph at 2.2 times demand; docs/rounds/order-mesh.md).
+ */
 const NESTED_WAIT_FRACTION = 0.7;
 /**
  * Part of its bound after which a call that waits reports congestion. A request may pass many gates one
- * after the other, so its callers are to hear of short waits already.
+ * after the other, so short waits are reported already. Not measured.
  */
 const CONGESTED_WAIT_FRACTION = 0.3;
 
@@ -27,7 +38,9 @@
 /**
  * Share of the slots of each class; what one leaves goes to the other by importance. Calls of targets come
  * first otherwise, since work is lost with them, and would leave nothing to requests that need a full service
- * themselves. Chosen in the simulation: 0.4 for clients costs the others 0.01 of their worth.
+ * themselves. Worth of all kinds, the worst kind in brackets: 0.770 (0.42) with shares, 0.758 (0.09) without
+ * (simulated, fan-in graph at 2.4 times demand; docs/design/platform.md). 0.4 for clients costs the others 0.01 of their
+ * worth, by an earlier simulation whose command is not kept.
  */
 const GATE_SHARES: Readonly<Record<string, number>> = {
   [GateShareClass.Clients]: 0.25,
@@ -48,6 +61,7 @@
   const maxWaitMs = isNested ? deadlineMs * NESTED_WAIT_FRACTION : 0;
   return {
     requestId,
+    // Tenants share no slots here: the share class stands in place of the tenant.
     group: isNested ? GateShareClass.Targets : GateShareClass.Clients,
     kind,
     service,
@@ -68,28 +82,3 @@
 export function gateOptions(frame: CallFrameContext, isNested: boolean): GateCallOptions {
   return { isNested, congestedAfterMs: CONGESTED_WAIT_FRACTION * frame.waitMs };
 }
-
-/**
- * Part of its time that a request should spend in the target at most while calls of the target are held up, by
- * importance, least first. The less urgent kinds fill the queue below up to their part; with 0.4 for them and 0.5
- * for the most urgent the urgent ones were limited too (docs/rounds/order-mesh.md).
- */
-const MAX_TARGET_TIME_PART: readonly number[] = [0.35, 0.35, 0.5, 0.8];
-/**
- * Part of the target's calls that may be held up before requests are limited, by importance, least first: the
- * less urgent ones make room first. Chosen in the simulation.
- */
-const TOLERATED_LEVEL: readonly number[] = [0.1, 0.1, 0.3, 0.5];
-
-/** Time that a request should be in the target at most, in milliseconds. */
-export function maxTimeInTargetMs(context: CallContext, now: number): number {
-  const leftMs = context.deadlineAt - now;
-  return (
-    MAX_TARGET_TIME_PART[context.importance]! * Math.min(context.objectiveMs ?? leftMs, leftMs)
-  );
-}
-
-/** Whether so many of the target's calls are held up that requests of this importance are limited. */
-export function isAboveTolerated(level: number, importance: Importance): boolean {
-  return level > TOLERATED_LEVEL[importance]!;
-}
--- /dev/null
+++ b/src/gate/kind-tolerance.ts
@@ -0,0 +1,36 @@
+/**
+ * When requests of clients are limited by kind at a gate, and how long they are to be in the target then: by importance,
+ * so that the less urgent kinds make room for the others. Asked for each request by `kind-use.ts`. Pure.
+ */
+import type { CallContext } from '../call/call-context.js';
+import type { Importance } from '../policy/importance.js';
+
+/**
+ * Part of its time that a request should spend in the target at most while calls of the target are congested, by
+ * importance, least first. The less urgent kinds fill the queue downstream up to their part; with 0.4 for them and 0.5
+ * for the most urgent the urgent ones were limited too. Worth of all kinds on the fan-in graph at 1.8 and 2.4 times demand
+ * 0.953 and 0.773 (seed 1), 0.959 and 0.770 with 0.4, 0.5, 0.5 (seeds 1 to 3; docs/rounds/order-mesh.md,
+ * docs/design/platform.md).
+ */
+const MAX_TARGET_TIME_PART: readonly number[] = [0.35, 0.35, 0.5, 0.8];
+/**
+ * Part of the target's calls that may be congested before requests are limited, by importance, least first: the less
+ * urgent ones make room first. Not measured.
+ */
+const TOLERATED_LEVEL: readonly number[] = [0.1, 0.1, 0.3, 0.5];
+
+/** Time that a request should be in the target at most, in milliseconds. @param now monotonic milliseconds */
+export function maxTimeInTargetMs(context: CallContext, now: number): number {
+  const leftMs = context.deadlineAt - now;
+  return (
+    MAX_TARGET_TIME_PART[context.importance]! * Math.min(context.objectiveMs ?? leftMs, leftMs)
+  );
+}
+
+/**
+ * Whether so many of the target's calls are congested that requests of this importance are limited.
+ * @param level part of the target's calls that are congested, 0 to 1
+ */
+export function isAboveTolerated(level: number, importance: Importance): boolean {
+  return level > TOLERATED_LEVEL[importance]!;
+}
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -1,10 +1,13 @@
-/** What one call at a gate counts towards its kind: calls under way, and what its answer tells. */
+/**
+ * The limit by kind for one call at a gate: asks it, counts the call as under way, and learns from its answer. Owns whether
+ * the call is counted; relies on `kind-tolerance.ts` for when the limit applies.
+ */
 import { isCalm, type KindImpact } from '../admission/kind-impact.js';
 import type { KindLimiter } from '../admission/kind-limiter.js';
 import type { Clock } from '../common/clock.js';
 import type { CallContext } from '../call/call-context.js';
 import type { KindRefusal } from './kind-refusal.js';
-import { isAboveTolerated, maxTimeInTargetMs } from './gate-policy.js';
+import { isAboveTolerated, maxTimeInTargetMs } from './kind-tolerance.js';
 
 /** What the gate keeps of all kinds. */
 export interface KindServices {
--- a/src/gate/nested-time.ts
+++ b/src/gate/nested-time.ts
@@ -1,4 +1,4 @@
-/** Time during which a call waits for at least one call that it made itself. */
+/** Time during which a call waits for at least one call that its target made for it: the rest is the target's own work. */
 import type { Clock } from '../common/clock.js';
 
 export class NestedTime {
--- a/src/gate/repeat-use.ts
+++ b/src/gate/repeat-use.ts
@@ -1,4 +1,7 @@
-/** What one call at a gate counts towards the retry budget of its service. */
+/**
+ * The retry budget for one call at a gate: asks it where the call is a repeat, and counts what arrives at the target. Owns
+ * what the call sets aside; relies on the budget of the service.
+ */
 import type { RepeatRoom } from '../retry/repeat-room.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
 import type { ArrivalSource, ServiceRetryBudget } from '../retry/service-retry-budget.js';
