--- a/src/dedup/claim-knowledge.ts
+++ b/src/dedup/claim-knowledge.ts
@@ -2,6 +2,8 @@
  * For which keys a replica knows every claim that may have been granted in an epoch. It says so for a
  * key only if it has heard from enough of the key's replicas; otherwise a call with that key is
  * refused, because it can't be known whether it ran before. docs/design/at-most-once.md has the proof.
+ *
+ * Owned by a replica for each epoch; relies on the records that the other replicas send. Pure.
  */
 import type { RecordsReply } from './claim-messages.js';
 import { CLAIM_REPLICAS, claimQuorum, replicasOf, type ClaimMember } from './claim-view.js';
--- a/src/dedup/claim-records.ts
+++ b/src/dedup/claim-records.ts
@@ -1,4 +1,4 @@
-/** The claims in a replica's memory. */
+/** The claims in a replica's memory, each until it runs out. Owned by one replica; never on disk. Pure. */
 import type { Clock } from '../common/clock.js';
 import type { ClaimPhase, ClaimRecord } from './claim-messages.js';
 
--- a/src/dedup/claim-replica.ts
+++ b/src/dedup/claim-replica.ts
@@ -1,6 +1,7 @@
 /**
  * A node as a keeper of claims: grants keys, passes claims on when the view changes or a replica
- * comes back, and refuses what it can't know. Pure.
+ * comes back, and refuses what it can't know. Owns the node's claims and what it knows of the epoch; relies on control for
+ * views, and on a transport to the other nodes of the view. Pure.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import { ClaimKnowledge } from './claim-knowledge.js';
@@ -29,16 +30,17 @@
   readonly assumeWhole?: boolean;
 }
 
-/** How long a key is remembered, in milliseconds. */
+/** How long a key is remembered, in milliseconds: a repeat that comes later runs again. Not measured. */
 export const CLAIM_LIFETIME_MS = 10 * 60_000;
 /**
  * A process that has not heard from control for this long grants no keys: it may hold a view that the
- * others have left. They rely on it when they wait for old claims to run out.
+ * others have left. They rely on it when they wait for old claims to run out. Not measured.
  */
 export const CLAIM_FENCE_MS = 5 * 60_000;
 
+/** First pause before records are asked for again, in milliseconds. Not measured. */
 const FIRST_PULL_INTERVAL_MS = 300;
-/** A pull moves all claims, so it is repeated ever less often. */
+/** A pull moves all claims, so it is repeated ever less often, up to this pause in milliseconds. Not measured. */
 const MAX_PULL_INTERVAL_MS = 10_000;
 const UNAVAILABLE: ClaimReply = { type: 'unavailable' };
 const DONE: ClaimReply = { type: 'done' };
--- a/src/dedup/claim-view.ts
+++ b/src/dedup/claim-view.ts
@@ -1,7 +1,7 @@
 /**
  * Which nodes of a service keep its claims of idempotency keys. Views are declared by control through
  * the replicated store, so all processes see the same ones in the same order (by epoch). A claim
- * counts only within one epoch.
+ * counts only within one epoch. Pure; relies on rendezvous hashing alone.
  */
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { ClaimViewResource } from '../policy/resource-schema.js';
@@ -10,7 +10,7 @@
 /** A node in a view. `incarnation` is that of its process when the view was declared. */
 export type ClaimMember = ClaimView['spec']['members'][number];
 
-/** Nodes that keep each claim. */
+/** Nodes that keep each claim: with three, one may be lost. Not measured with other numbers. */
 export const CLAIM_REPLICAS = 3;
 
 /** How many of a key's replicas must agree. */
--- a/src/dedup/claim.ts
+++ b/src/dedup/claim.ts
@@ -1,6 +1,7 @@
 /**
  * Claims of idempotency keys: a call that may run at most once runs only after its node has claimed
- * the key. docs/design/at-most-once.md weighs the ways.
+ * the key. docs/design/at-most-once.md weighs the ways. Asked by an inbound call that holds a permit, just before it is
+ * sent; implemented by `QuorumClaims`, and by `NO_CLAIMS` where no keys are claimed.
  */
 import type { Verdict } from '../common/verdict.js';
 
--- a/src/dedup/quorum-claims.ts
+++ b/src/dedup/quorum-claims.ts
@@ -1,6 +1,7 @@
 /**
  * Claims a key with a majority of its replicas before the call runs. One round trip to the nearest
- * majority. A key that is held, or can't be known, is refused.
+ * majority. A key that is held, or can't be known, is refused. Owns the claims under way of one node; relies on its replica
+ * for the view, and on a transport to the others.
  */
 import type { Clock } from '../common/clock.js';
 import type { ClaimDecision, ClaimHandle, KeyClaims } from './claim.js';
@@ -8,11 +9,11 @@
 import type { ClaimReplica } from './claim-replica.js';
 import { claimQuorum, replicasOf, type ClaimMember } from './claim-view.js';
 
-/** Time after which a round without a decision is begun again. */
+/** Time after which a round without a decision is begun again, in milliseconds. Not measured. */
 const ROUND_MS = 150;
-/** Pause before asking again when a replica could not tell, as while a view changes. */
+/** Pause before asking again when a replica could not tell, as while a view changes, in milliseconds. Not measured. */
 const PAUSE_MS = 50;
-/** Longest time until a key that can't be claimed is refused as unknown. */
+/** Longest time until a key that can't be claimed is refused as unknown, in milliseconds. Not measured. */
 const GIVE_UP_MS = 600;
 
 const UNKNOWN: ClaimDecision = {
--- a/src/quarantine/crash-evidence.ts
+++ b/src/quarantine/crash-evidence.ts
@@ -6,26 +6,32 @@
  * that were under way in the same crashes, and in no others, are as suspect: then more crashes are wanted. A crash that one
  * request is blamed for speaks against no other one. A request is blamed whoever sends it once crashes under it came by
  * different callers, and for one caller otherwise.
+ *
+ * Owns the crashes of the last hour; relies on the store's quarantines for what is in force. docs/design/quarantine.md
+ * weighs the rule.
  */
 import type { Clock } from '../common/clock.js';
 import { hasCaller, withoutCaller } from './request-fingerprint.js';
 import type { CrashNews, CrashReport, CrashSuspect, SuspectList } from './crash-report.js';
 
-/** Crashes under one request after which it is blamed for them. */
+/**
+ * Crashes under one request after which it is blamed for them: fewer blame a request that was there by chance, more cost
+ * targets. Not measured.
+ */
 export const CRASHES_TO_BLAME = 3;
-/** The same where others were under way in just the same crashes. */
+/** The same where others were under way in just the same crashes. Not measured. */
 const CRASHES_TO_BLAME_ALIKE = 5;
-/** Crashes under one request from which it is told to all gates, so that one that has seen it end well says so. */
+/** Crashes under one request from which it is told to all gates, so that one that has seen it end well says so. Not measured. */
 const CRASHES_TO_SUSPECT = 2;
 /**
  * Time for that, in milliseconds. Two pushes over the control links take some 10 ms; the rest is for processes that are
- * busy. Together with the agreement it stays well below the 3 s in which all processes are to know.
+ * busy. Together with the agreement it stays well below the 3 s in which all processes are to know. Not measured.
  */
 const HEARING_MS = 700;
-/** Crashes are forgotten after this long, in milliseconds, and above this number: soft state is bounded. */
+/** Crashes are forgotten after this long, in milliseconds, and above this number: soft state is bounded. Not measured. */
 const CRASH_MEMORY_MS = 60 * 60_000;
 const MAX_CRASHES = 512;
-/** Suspects that are told at once. */
+/** Suspects that are reported at once: bounds a sync. Not measured. */
 const MAX_SUSPECTS = 128;
 
 interface Crash {
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -1,6 +1,9 @@
 /**
  * What one sidecar does about requests that crash targets: watches its own target, tells control of crashes and of suspects
  * that ended well here, and says which requests are not to be sent to any target. Pure.
+ *
+ * Asked by the ingress and the gate before a request is sent, and by the gate after a connection broke. Owns the crashes
+ * that are still reported, and the latest list of suspects; relies on the table in force for quarantines.
  */
 import type { Clock } from '../common/clock.js';
 import type { TargetReport } from '../membership/target-lease.js';
@@ -25,18 +28,21 @@
   readonly onNews: () => void;
 }
 
-/** A crash is told for this long, in milliseconds: heartbeats are lost, and replicas restart within a second or two. */
-const TELL_MS = 10_000;
-/** Crashes told at once: a target that is back within 2 s can crash this often in that time. */
-const MAX_TOLD = 5;
-/** A request that ended well this long before the first crash under it is not the cause either, in milliseconds. */
+/**
+ * A crash is reported for this long, in milliseconds: heartbeats are lost, and replicas restart within a second or two. Not
+ * measured.
+ */
+const REPORT_MS = 10_000;
+/** Crashes reported at once: a target that is back within 2 s can crash this often in that time. */
+const MAX_REPORTED = 5;
+/** A request that ended well this long before the first crash under it is not the cause either, in milliseconds. Not measured. */
 const GOOD_BEFORE_MS = 10_000;
-/** With no more requests than this in the target, each is likely enough to be the cause to not be sent on. */
+/** With no more requests than this in the target, each is likely enough to be the cause to not be sent on. Not measured. */
 const MAX_LIKELY_CAUSES = 2;
-/** Fingerprints in the line of a crash. */
+/** Fingerprints in the log line of a crash: bounds its length. Not measured. */
 const MAX_LOGGED = 8;
 
-interface ToldCrash {
+interface ReportedCrash {
   readonly report: CrashReport;
   readonly at: number;
 }
@@ -44,7 +50,7 @@
 export class CrashGuard {
   readonly watch: CrashWatch;
   private readonly goodEnds: GoodEnds;
-  private told: ToldCrash[] = [];
+  private reported: ReportedCrash[] = [];
   private crashCount = 0;
   private suspects = NO_SUSPECTS;
   private suspectsAt = 0;
@@ -101,9 +107,9 @@
 
   /** What to tell control; undefined where there is nothing. */
   news(): CrashNews | undefined {
-    const since = this.options.clock.now() - TELL_MS;
-    this.told = this.told.filter(({ at }) => at >= since);
-    const crashes = this.told.map(({ report }) => report);
+    const since = this.options.clock.now() - REPORT_MS;
+    this.reported = this.reported.filter(({ at }) => at >= since);
+    const crashes = this.reported.map(({ report }) => report);
     const acquitted = this.acquitted();
     return crashes.length + acquitted.length === 0 ? undefined : { crashes, acquitted };
   }
@@ -121,7 +127,7 @@
     let isNews = false;
     for (const name of [fingerprint, withoutCaller(fingerprint)]) {
       this.goodEnds.add(name);
-      // Told once: the next list no longer names it.
+      // Reported once: the next list no longer names it.
       if (this.suspected.delete(name)) isNews = true;
     }
     if (isNews) this.options.onNews();
@@ -134,7 +140,8 @@
     const named = fingerprints.slice(0, MAX_LOGGED);
     const underWay = fingerprints.length;
     logger.warn('The target has crashed.', { instance, underWay, fingerprints: named });
-    if (underWay > 0) this.told = [...this.told.slice(1 - MAX_TOLD), { report, at: clock.now() }];
+    if (underWay > 0)
+      this.reported = [...this.reported.slice(1 - MAX_REPORTED), { report, at: clock.now() }];
     onDown(instance);
   }
 }
--- a/src/quarantine/crash-report.ts
+++ b/src/quarantine/crash-report.ts
@@ -1,4 +1,7 @@
-/** What processes tell each other about crashes of targets. */
+/**
+ * What processes report to each other about crashes of targets: sidecars to every control replica with their heartbeats, a
+ * replica to its followers with their syncs.
+ */
 
 /** One crash of a target, as the sidecar beside it saw it. */
 export interface CrashReport {
--- a/src/quarantine/crash-watch.ts
+++ b/src/quarantine/crash-watch.ts
@@ -1,7 +1,8 @@
 /**
  * Tells the crash of a gate's target from a connection that merely broke, and says which requests it was at work on. A
  * target has crashed if it refuses connections, or if another incarnation reports in place of one that had not said that
- * it leaves. Pure: the probe of the target's port is injected.
+ * it leaves. Owns the runs in the target and those that were lost there lately; relies on the target's lease for which
+ * incarnation is in use. Pure: the probe of the target's port is injected.
  */
 import type { Clock } from '../common/clock.js';
 import { incarnationName, isSameIncarnation } from '../membership/incarnation.js';
@@ -32,12 +33,12 @@
 
 /**
  * Runs that were lost before a crash was noticed count as under way for this long, in milliseconds: connections break some
- * milliseconds before the port refuses, and the next incarnation reports seconds later.
+ * milliseconds before the port refuses, and the next incarnation reports seconds later. Not measured.
  */
 const LOST_MEMORY_MS = 5_000;
-/** Requests of one report; a target that works on more than this is rare, and the newest are the likeliest cause. */
+/** Requests of one report; a target that works on more than this is rare, and the newest are the likeliest cause. Not measured. */
 const MAX_SUSPECTS = 192;
-/** Incarnations that are remembered as crashed. */
+/** Incarnations that are remembered as crashed: late ends of runs ask for the latest few. Not measured. */
 const MAX_CRASHED = 16;
 
 /** What became of a target after a connection to it broke. */
--- a/src/quarantine/good-ends.ts
+++ b/src/quarantine/good-ends.ts
@@ -1,5 +1,6 @@
 /**
- * Which requests a gate's target has answered lately, and when. Bounded. Pure.
+ * Which requests a gate's target has answered lately, and when: they are not the cause of a crash. Owned by the crash guard
+ * of one sidecar. Bounded. Pure.
  *
  * Two maps that take turns: with one map that drops its oldest entry at each addition, an addition took 4.6 us, 0.6 us now
  * (400,000 in a row, the making of the text included).
--- a/src/quarantine/request-fingerprint.ts
+++ b/src/quarantine/request-fingerprint.ts
@@ -8,6 +8,8 @@
  *
  * A body that is streamed counts with its first part and its declared length, since a target begins its work before the
  * rest has arrived.
+ *
+ * Computed at the ingress and sent along; every process gives a request the same fingerprint. Relies on nothing.
  */
 import { hash } from 'node:crypto';
 
@@ -25,9 +27,9 @@
   readonly bodyStart: Buffer | null;
 }
 
-/** Hexadecimal digits of what is asked: 80 bits, so that no request can be made to look like a given other one. */
+/** Hexadecimal digits of what is asked: 80 bits, so that no request can be made to look like a given other one. Not measured. */
 const REQUEST_DIGITS = 20;
-/** Of the caller: a deployment has some hundred services. */
+/** Of the caller: a deployment has some hundred services, so 32 bits tell them apart. */
 const CALLER_DIGITS = 8;
 const CALLER_MARK = '-';
 /** No part of a request's head can contain it (RFC 9112, section 2.2). */
