--- a/src/outbound/outbound-router.ts
+++ b/src/outbound/outbound-router.ts
@@ -1,4 +1,7 @@
-/** Makes the outbound calls of one process: what edges and nodes share. */
+/**
+ * Makes the outbound calls of one process. Owns what they share: the throttle, and a retry budget for each service. Relies on
+ * the directory for the balancer of a service.
+ */
 import type { CallThrottle } from '../admission/call-throttle.js';
 import { OverloadThrottle } from '../admission/overload-throttle.js';
 import type { Clock } from '../common/clock.js';
@@ -16,7 +19,7 @@
   readonly directory: ServiceDirectory;
   /** Default: an {@link OverloadThrottle} with its own defaults. */
   readonly throttle?: CallThrottle;
-  /** Whether callees bound repeats, and this process need not. Default false. */
+  /** Whether the gates of callees bound repeats, and this process need not. Default false. */
   readonly calleesBoundRepeats?: boolean;
 }
 
--- a/src/retry/retry-policy.ts
+++ b/src/retry/retry-policy.ts
@@ -5,8 +5,8 @@
  *
  * Words: a *reroute* sends a call elsewhere that is known not to have arrived at any target, at no cost. A *retry* is the
  * caller's decision to send a call again that may have arrived, a *hedged request* the same while the first attempt is
- * still under way; both cost a retry. A *repeat* is what a target sees of them: an arrival after one that may have been
- * there already, also of a call that a repeated run makes.
+ * still under way; both cost a retry. A *repeat* is what a target sees: an arrival after one that may have been there
+ * already, be it of a retry, of a hedged request, or of a call that a repeated run makes.
  *
  * Relies on true verdicts of the gates, and on gates that refuse repeats beyond the budget of their service
  * (service-retry-budget.ts) where the caller has no budget of its own.
