--- a/src/retry/repeat-room.ts
+++ b/src/retry/repeat-room.ts
@@ -73,7 +73,8 @@
 
 /**
  * Part of the window for which no repeats are granted after a service below has said that it has no room for repeated runs:
- * longer than it takes to the next answer where calls are rare. Not measured.
+ * longer than it takes to the next answer where calls are rare. Simulated chain of four services (docs/design/retries.md):
+ * without it up to 1.24 of the allowed repeats arrive, with 0.01 up to 0.71, with 0.1 up to 0.61, with 0.5 up to 0.65.
  */
 export const FULL_BELOW_PART = 0.1;
 
--- a/src/retry/retry-policy.ts
+++ b/src/retry/retry-policy.ts
@@ -24,7 +24,8 @@
 
 /**
  * Shortest hedge delay, in milliseconds: short latencies vary by large multiples, and hedging each of them would spend
- * the retry budget on answers that are about to come. Not measured.
+ * the retry budget on answers that are about to come. Not measured: in the simulation no answer is lost without its caller
+ * being told.
  */
 export const MIN_HEDGE_DELAY_MS = 60;
 
--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -20,7 +20,10 @@
  */
 const LATENCY_RATIO_FADE_MS = 3_000;
 
-/** Time constant with which a reported load fades, in milliseconds: reports are old where calls are few. Not measured. */
+/**
+ * Time constant with which a reported load fades, in milliseconds: reports are old where calls are few. 300 and 10,000 do as
+ * well, within the spread of the seeds (docs/design/routing.md).
+ */
 const LOAD_FADE_MS = 1_000;
 
 /** Part of its full load that an endpoint gets right after it appears: enough for it to warm up by. Not measured. */
--- a/src/routing/target-choice.ts
+++ b/src/routing/target-choice.ts
@@ -20,15 +20,15 @@
 const MAX_EJECTED_PART = 0.5;
 
 /**
- * Occupancy from which an endpoint of the zone has no room. Lower, calls cross zones while there is room here; higher,
- * queues form here while others stand empty, which a zone always preferred was seen to do in the simulation. The figure
- * itself is not measured.
+ * Occupancy from which an endpoint of the zone has no room. Lower, calls cross zones while there is room here; without it
+ * queues form here while others stand empty: 0.75 to 0.77 of the requests in time in place of 0.89 to 0.93. 0.5 and 0.9 do as
+ * well as 0.75, within the spread of the seeds (docs/design/routing.md, fan-in graph at 1.8 times the usual demand).
  */
 const FULL_OCCUPANCY = 0.75;
 
 /**
  * Latency ratio from which an endpoint of the zone is slow: without such a bound calls stayed at targets 12 times slower
- * than usual, since those had room. The figure itself is not measured.
+ * than usual, since those had room. The figure itself is not measured: no target is so slow in the simulated overloads.
  */
 const SLOW_LATENCY_RATIO = 1.6;
 
@@ -40,10 +40,16 @@
  */
 const CROSSING_COST_RATIO = 2;
 
-/** Random endpoints compared in the zone. With two, callers that choose at once do not all take the same. Not measured. */
+/**
+ * Random endpoints compared in the zone. With one, 0.25 of the attempts cross zones in place of 0.20 (docs/design/routing.md,
+ * deep search graph); more than two is not measured.
+ */
 const LOCAL_CHOICES = 2;
 
-/** Random endpoints compared over all zones, of which some may be full or slow. Not measured. */
+/**
+ * Random endpoints compared over all zones, of which some may be full or slow. 2 and 8 do as well, within the spread of the
+ * seeds (docs/design/routing.md).
+ */
 const SPILL_CHOICES = 3;
 
 /** What the values of all endpoints are reckoned with at one moment. */
