--- a/src/link/frame-codec.ts
+++ b/src/link/frame-codec.ts
@@ -1,98 +1,29 @@
 /**
- * The bytes of the frames between sidecars: a msgpack array behind its length as a 32-bit big-endian
- * number. Fields stand in a fixed order, and all texts of a head are one text of lines: names of fields
- * and many short texts cost more processor time than all else about a frame (docs/design/platform.md).
+ * The bytes of the frames between sidecars: a msgpack array behind its length as a 32-bit big-endian number. Fields
+ * stand in a fixed order, and all texts of a head are one text of lines: names of fields and many short texts cost more
+ * processor time than all else about a frame (docs/design/platform.md).
+ *
+ * For: both sides of a link. Owns: the length, the array and its first field, and the frames of one or two fields.
+ * Relies on: `call-fields.ts`, `answer-fields.ts` and `outcome-fields.ts` for the rest.
  */
 import { Packr } from 'msgpackr';
-import type { CrashNote, Outcome } from '../call/outcome.js';
-import type { Verdict } from '../common/verdict.js';
-import type { RefusalReason } from '../call/refusal.js';
-import type { RawHeaders } from '../http/header-filter.js';
-import { RepeatRoom } from '../retry/repeat-room.js';
-import type { CallFrame, LinkFrame } from './link-frames.js';
-
-/** The first field of every frame. */
-enum FrameCode {
-  Hello,
-  Call,
-  Answer,
-  Head,
-  Refused,
-  Data,
-  End,
-  Broken,
-  Cancel,
-  Taken,
-  Ping,
-  Pong,
-}
-
-/** How the body of a call arrives. */
-enum BodyForm {
-  None,
-  /** In the frame of the call itself. */
-  Whole,
-  /** In frames of its own. */
-  Stream,
-}
-
-type OutcomeFields = [
-  verdict: Verdict,
-  refusal: RefusalReason | null,
-  overloaded: boolean,
-  nested: boolean,
-  unspentRetries: number,
-  inFlight: number | null,
-  limit: number | null,
-  congestion: number | null,
-  rejectedByTarget: boolean,
-  repeatRoom: RepeatRoom,
-  /** Absent in frames of processes that do not know it. */
-  crashNote?: CrashNote | null,
-];
-
-/** The fields of a call behind its lines. */
-type CallNumbers = [
-  importance: number,
-  deadlineMs: number,
-  waitMs: number,
-  objectiveMs: number,
-  retries: number,
-  isRepeat: boolean,
-  inheritedPercent: number,
-  form: BodyForm,
-  body: unknown,
-  /** Absent in frames of processes that do not know it. */
-  answerMarginMs?: number,
-  /** Absent in frames of processes that do not know it. */
-  fingerprint?: string,
-  /** Absent in frames of processes that do not know it. */
-  groupRank?: number,
-];
-
-/** The last fields of a call. */
-type BodyFields = [
-  form: BodyForm,
-  body: unknown,
-  answerMarginMs?: number,
-  fingerprint?: string,
-  groupRank?: number,
-];
-
-/** Place of the form of the body among the numbers of a call. */
-const BODY_FORM_FIELD = 7;
-/** Place of the lines among the fields of a call. */
-const CALL_LINES_FIELD = 2;
-/** Shares travel as whole hundredths: one byte in place of nine. */
-const PERCENT = 100;
-/** Place of the congestion among the fields of an outcome. */
-const CONGESTION_FIELD = 7;
-/** Texts that stand before the headers in a call's lines. */
-const CALL_TEXTS = 5;
-/** No text of a head can contain it (RFC 9112, section 2.2). */
-const LINE_END = '\n';
-
+import {
+  fromAnswerFields,
+  fromHeadFields,
+  toAnswerFields,
+  toHeadFields,
+  type AnswerFields,
+  type HeadFields,
+} from './answer-fields.js';
+import { fromCallFields, toCallFields, type CallFields } from './call-fields.js';
+import { FrameCode } from './frame-code.js';
+import { bytesOf } from './frame-fields.js';
+import type { LinkFrame } from './link-frames.js';
+import { fromOutcomeFields, toOutcomeFields, type OutcomeFields } from './outcome-fields.js';
+
+/** Bytes of the length before each frame. */
 const LENGTH_BYTES = 4;
+/** A larger frame is an error of the peer: bodies are sent whole up to 64 KiB. The figure is not measured. */
 const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 const packr = new Packr({ useRecords: false });
 
@@ -136,26 +67,13 @@
     case 'hello':
       return [FrameCode.Hello, frame.token];
     case 'call':
-      return callFields(frame);
+      return toCallFields(frame);
     case 'answer':
-      return [
-        FrameCode.Answer,
-        frame.id,
-        frame.status,
-        frame.headers.join(LINE_END),
-        outcomeFields(frame.outcome),
-        frame.body,
-      ];
+      return toAnswerFields(frame);
     case 'head':
-      return [
-        FrameCode.Head,
-        frame.id,
-        frame.status,
-        frame.headers.join(LINE_END),
-        outcomeFields(frame.outcome),
-      ];
+      return toHeadFields(frame);
     case 'refused':
-      return [FrameCode.Refused, frame.id, outcomeFields(frame.outcome)];
+      return [FrameCode.Refused, frame.id, toOutcomeFields(frame.outcome)];
     case 'data':
       return [FrameCode.Data, frame.id, frame.bytes];
     case 'end':
@@ -175,20 +93,20 @@
 
 /** @throws RangeError when the frame is of no known kind */
 function fromFields(fields: unknown[]): LinkFrame {
-  const [code, id] = fields as [FrameCode, number];
+  const [code, id, value] = fields as [FrameCode, number, unknown];
   switch (code) {
     case FrameCode.Hello:
       return { type: 'hello', token: fields[1] as string };
     case FrameCode.Call:
-      return callOf(id, fields);
+      return fromCallFields(fields as CallFields);
     case FrameCode.Answer:
-      return { type: 'answer', ...headOf(id, fields), body: bytesOf(fields[5]) };
+      return fromAnswerFields(fields as AnswerFields);
     case FrameCode.Head:
-      return { type: 'head', ...headOf(id, fields) };
+      return fromHeadFields(fields as HeadFields);
     case FrameCode.Refused:
-      return { type: 'refused', id, outcome: outcomeOf(fields[2] as OutcomeFields) };
+      return { type: 'refused', id, outcome: fromOutcomeFields(value as OutcomeFields) };
     case FrameCode.Data:
-      return { type: 'data', id, bytes: bytesOf(fields[2]) };
+      return { type: 'data', id, bytes: bytesOf(value) };
     case FrameCode.End:
       return { type: 'end', id };
     case FrameCode.Broken:
@@ -196,7 +114,7 @@
     case FrameCode.Cancel:
       return { type: 'cancel', id };
     case FrameCode.Taken:
-      return { type: 'taken', id, bytes: fields[2] as number };
+      return { type: 'taken', id, bytes: value as number };
     case FrameCode.Ping:
       return { type: 'ping' };
     case FrameCode.Pong:
@@ -204,129 +122,3 @@
   }
   throw new RangeError('a frame is of no known kind');
 }
-
-function callFields(frame: CallFrame): unknown[] {
-  const { id, context, method, path, headers, body } = frame;
-  const { requestId, kind, service } = context;
-  const lines = [requestId, kind, service, method, path, ...headers].join(LINE_END);
-  return [
-    FrameCode.Call,
-    id,
-    lines,
-    context.importance,
-    context.deadlineMs,
-    context.waitMs,
-    context.objectiveMs,
-    context.retries,
-    context.isRepeat,
-    Math.round(context.inheritedShare * PERCENT),
-    bodyFormOf(body),
-    body ?? null,
-    context.answerMarginMs,
-    context.fingerprint,
-    context.groupRank,
-  ];
-}
-
-function bodyFormOf(body: CallFrame['body']): BodyForm {
-  if (body === undefined) return BodyForm.Stream;
-  return body === null ? BodyForm.None : BodyForm.Whole;
-}
-
-function callOf(id: number, fields: unknown[]): CallFrame {
-  const lines = (fields[CALL_LINES_FIELD] as string).split(LINE_END);
-  const numbers = fields.slice(CALL_LINES_FIELD + 1) as CallNumbers;
-  const [importance, deadlineMs, waitMs, objectiveMs, retries, isRepeat, inherited] = numbers;
-  const rest = numbers.slice(BODY_FORM_FIELD) as BodyFields;
-  const [form, bytes, answerMarginMs = 0, fingerprint = '', groupRank = 0] = rest;
-  const [requestId, kind, service, method, path] = lines as [
-    string,
-    string,
-    string,
-    string,
-    string,
-  ];
-  const frame = {
-    type: 'call' as const,
-    id,
-    context: {
-      requestId,
-      kind,
-      service,
-      importance,
-      deadlineMs,
-      waitMs,
-      objectiveMs,
-      retries,
-      isRepeat,
-      inheritedShare: inherited / PERCENT,
-      answerMarginMs,
-      fingerprint,
-      groupRank,
-    },
-    method,
-    path,
-    headers: lines.slice(CALL_TEXTS),
-  };
-  if (form === BodyForm.Stream) return frame;
-  return { ...frame, body: form === BodyForm.None ? null : bytesOf(bytes) };
-}
-
-function headOf(
-  id: number,
-  fields: unknown[],
-): { id: number; status: number; headers: RawHeaders; outcome: Outcome } {
-  const lines = fields[3] as string;
-  return {
-    id,
-    status: fields[2] as number,
-    headers: lines === '' ? [] : lines.split(LINE_END),
-    outcome: outcomeOf(fields[4] as OutcomeFields),
-  };
-}
-
-function outcomeFields(outcome: Outcome): OutcomeFields {
-  const { verdict, refusal, overloaded, nested, unspentRetries, load, congestion } = outcome;
-  const isRejectedByTarget = outcome.rejectedByTarget === true;
-  return [
-    verdict,
-    refusal ?? null,
-    overloaded,
-    nested === true,
-    unspentRetries,
-    load?.inFlight ?? null,
-    load?.limit ?? null,
-    congestion ?? null,
-    isRejectedByTarget,
-    load?.repeatRoom ?? RepeatRoom.Runs,
-    outcome.crashNote ?? null,
-  ];
-}
-
-function outcomeOf(fields: OutcomeFields): Outcome {
-  const [verdict, refusal, overloaded, nested, unspentRetries, inFlight, limit] = fields;
-  const [congestion, rejectedByTarget, repeatRoom, crashNote] = fields.slice(CONGESTION_FIELD) as [
-    number | null,
-    boolean,
-    RepeatRoom,
-    CrashNote | null | undefined,
-  ];
-  return {
-    verdict,
-    refusal: refusal ?? undefined,
-    overloaded,
-    nested,
-    unspentRetries,
-    load: inFlight === null || limit === null ? undefined : { inFlight, limit, repeatRoom },
-    ...(congestion !== null && { congestion }),
-    ...(rejectedByTarget && { rejectedByTarget }),
-    ...(typeof crashNote === 'string' && { crashNote }),
-  };
-}
-
-/** The same bytes as a Buffer, without a copy. */
-function bytesOf(value: unknown): Buffer {
-  if (Buffer.isBuffer(value)) return value;
-  const bytes = value as Uint8Array;
-  return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
-}
