--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -3,7 +3,7 @@
  * machine. It alone sends to that target, so it decides what enters and in which order.
  */
 import { GateTransport, type GateTransportOptions } from './gate-transport.js';
-import type { IncomingLinkCall } from '../link/link-server.js';
+import type { IncomingLinkCall } from '../link/incoming-link-call.js';
 import { headerOf } from '../http/header-filter.js';
 import type { OriginTracker } from '../routing/origin-tracker.js';
 import type { CallContext } from '../call/call-context.js';
--- a/src/gate/gate-transport.ts
+++ b/src/gate/gate-transport.ts
@@ -2,7 +2,7 @@
 import type { CallContext } from '../call/call-context.js';
 import type { Attempt, AttemptListener, TargetTransport } from '../call/transport.js';
 import type { Clock } from '../common/clock.js';
-import type { IncomingLinkCall } from '../link/link-server.js';
+import type { IncomingLinkCall } from '../link/incoming-link-call.js';
 import type { TargetConnection } from '../membership/instance-pool.js';
 import { RelayHandler, type RelayPolicy } from '../http/relay-handler.js';
 import { answerFault, isFramed, type TargetHeaders } from '../http/target-headers.js';
--- a/src/http/listening-server.ts
+++ b/src/http/listening-server.ts
@@ -1,18 +1,23 @@
-/** An HTTP server with shoredoor's limits on slow or malformed requests. */
+/**
+ * An HTTP server with shoredoor's limits on slow or malformed requests.
+ *
+ * For: every HTTP port of every program. Owns: the listening socket, the limits on heads and idle connections, and the
+ * answer to what is not HTTP. Relies on: its listener for everything about whole requests; deadlines of calls are not
+ * its matter.
+ */
 import { createServer, type RequestListener, type Server } from 'node:http';
-import type { AddressInfo, Socket } from 'node:net';
-
-/** Where a server listens. Port 0 takes any free port. */
-export interface ListenAddress {
-  readonly host: string;
-  readonly port: number;
-}
+import type { Socket } from 'node:net';
+import { listen, type ListenAddress } from './listen.js';
 
+/** Largest head of a request that is taken, in bytes: the engine's own default. */
 const MAX_HEADER_BYTES = 16 * 1024;
+/** Longest time for the head of a request to arrive, in milliseconds. Not measured. */
 const HEADERS_TIMEOUT_MS = 10_000;
+/** Longest time for a whole request to arrive, in milliseconds. Not measured. */
 const REQUEST_TIMEOUT_MS = 120_000;
-/** Longer than the keep-alive of our own clients, so that they close idle connections first. */
+/** Longer than the keep-alive of our own clients, so that they close idle connections first. In milliseconds. */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
+/** Interval between two looks for connections over these limits, in milliseconds. Not measured. */
 const CONNECTION_CHECK_MS = 2_000;
 
 /** What clients may send, where it differs from shoredoor's own limits. */
@@ -70,13 +75,7 @@
       listener,
     );
     server.on('clientError', answerClientError);
-    await new Promise<void>((resolve, reject) => {
-      server.once('error', reject);
-      server.listen(address.port, address.host, resolve);
-    });
-    const bound = server.address() as AddressInfo;
-    const host = bound.family === 'IPv6' ? `[${bound.address}]` : bound.address;
-    return new ListeningServer(server, `http://${host}:${bound.port}`);
+    return new ListeningServer(server, await listen(server, address));
   }
 
   /** Adopts changed time limits, for requests that begin from now on. */
--- a/src/link/link-stream.ts
+++ b/src/link/link-stream.ts
@@ -1,10 +1,19 @@
-/** One call under way on a link, at its calling side. */
+/**
+ * One call under way on a link, at its calling side.
+ *
+ * For: `peer-transport.ts`, through `link-pool.ts`. Owns: the windows of both bodies. Relies on: the link to send frames
+ * and to say when it is over.
+ */
 import type { Readable } from 'node:stream';
 import type { Outcome } from '../call/outcome.js';
 import type { RawHeaders } from '../http/header-filter.js';
 import { BodyWindow } from './body-window.js';
-import { BODY_WINDOW_BYTES, type CallFrame, type StreamFrame } from './link-frames.js';
-import type { PeerLink } from './peer-link.js';
+import {
+  BODY_WINDOW_BYTES,
+  type CallFrame,
+  type LinkFrame,
+  type StreamFrame,
+} from './link-frames.js';
 
 /** A call to send. */
 export interface LinkCall extends Omit<CallFrame, 'type' | 'id' | 'body'> {
@@ -12,7 +21,7 @@
   readonly body: Buffer | Readable | null;
 }
 
-/** Hears of one call. */
+/** Told how one call goes. */
 export interface LinkCallListener {
   /** The whole answer came at once; nothing follows. */
   onAnswer(status: number, headers: RawHeaders, outcome: Outcome, body: Buffer): void;
@@ -25,14 +34,31 @@
   onFailure(written: boolean): void;
 }
 
+/** What a call needs of its link. */
+interface CallingLink {
+  /** Whether frames are written at once. */
+  readonly isOpen: boolean;
+  /** Whether the call is under way. */
+  has(id: number): boolean;
+  send(frame: LinkFrame): void;
+  /** Tells the peer that a call is over; one that has not been written yet is never sent. */
+  withdraw(id: number): void;
+  /** Forgets a call. @returns whether it was under way */
+  release(id: number): boolean;
+}
+
+/** Bytes of an answer that are passed on before the peer is told, so that most answers need no frame for it. */
+const REPORT_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
+
 export class LinkStream {
   private readonly window = new BodyWindow();
-  private bodyReader: (() => void) | undefined;
+  /** Continues {@link sendBody}, which waits for its window. */
+  private resumeBody: (() => void) | undefined;
   /** Bytes that were taken and not reported yet. */
   private unreported = 0;
 
   constructor(
-    private readonly link: PeerLink,
+    private readonly link: CallingLink,
     private readonly id: number,
     readonly listener: LinkCallListener,
   ) {}
@@ -42,10 +68,10 @@
     if (this.link.release(this.id)) this.link.withdraw(this.id);
   }
 
-  /** The bytes of an answer have been passed on. Reported in large steps: most answers need none. */
+  /** The bytes of an answer have been passed on. */
   taken(bytes: number): void {
     this.unreported += bytes;
-    if (this.unreported < BODY_WINDOW_BYTES / 2) return;
+    if (this.unreported < REPORT_AFTER_BYTES) return;
     this.link.send({ type: 'taken', id: this.id, bytes: this.unreported });
     this.unreported = 0;
   }
@@ -82,7 +108,7 @@
         return;
       case 'taken':
         this.window.onTaken(frame.bytes);
-        this.bodyReader?.();
+        this.resumeBody?.();
         return;
       case 'call':
       case 'cancel':
@@ -102,19 +128,20 @@
       }
       link.send({ type: 'end', id });
     } catch {
+      // The caller's body broke off: the peer is told, and the end of the caller's connection ends the call.
       link.send({ type: 'broken', id });
     }
   }
 
   /** The link is over. */
   onClose(wasConnected: boolean): void {
-    this.bodyReader?.();
+    this.resumeBody?.();
     this.listener.onFailure(wasConnected);
   }
 
   private untilTaken(): Promise<void> {
     return new Promise((resolve) => {
-      this.bodyReader = resolve;
+      this.resumeBody = resolve;
     });
   }
 }
--- a/src/link/peer-link.ts
+++ b/src/link/peer-link.ts
@@ -1,57 +1,64 @@
-/** The connection to one other sidecar, at its calling side. */
-import { SYSTEM_CLOCK } from '../common/clock.js';
-import { connect } from 'node:net';
+/**
+ * The connection to one other sidecar, at its calling side.
+ *
+ * For: `link-pool.ts`. Owns: the state of the connection, the calls under way on it, and the frames that wait until it
+ * is open. Relies on: `link-connection.ts` to send frames and to end when the peer stays silent.
+ */
+import { connect, type Socket } from 'node:net';
 import { Readable } from 'node:stream';
+import { SYSTEM_CLOCK } from '../common/clock.js';
+import { CallsUnderWay } from './calls-under-way.js';
 import { LinkConnection } from './link-connection.js';
 import type { LinkFrame } from './link-frames.js';
 import { LinkStream, type LinkCall, type LinkCallListener } from './link-stream.js';
 import type { PeerWatch } from './peer-watch.js';
 
+/** Longest wait for a connection to be made, in milliseconds. Not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 /**
  * A link that has been idle for this long is asked for a sign of life before a call is written to it, in milliseconds:
- * its peer may have lost power and forgotten it, and the first calls were lost then as "may have run".
+ * its peer may have lost power and forgotten it, and the first calls were lost then as "may have run". The figure is not
+ * measured; `test/link/silent-link.test.ts` holds what it is for.
  */
 const PROBE_AFTER_MS = 1_000;
-/** Longest wait for that sign, in milliseconds. */
+/** Longest wait for that sign, in milliseconds. Not measured; longer than a way there and back between regions. */
 const PROBE_TIMEOUT_MS = 300;
 
+/**
+ * `connecting`: the connection is being made. `probing`: it was idle for long, and the peer was asked for a sign of life.
+ * In both, frames wait. `open`: frames are written at once. A connection that ends keeps its last state: a call may have
+ * reached the peer if that was `open`.
+ */
+type LinkState = 'connecting' | 'probing' | 'open';
+
 export class PeerLink {
-  private isConnected = false;
-  private probe: NodeJS.Timeout | undefined;
+  private state: LinkState = 'connecting';
+  private probeTimer: NodeJS.Timeout | undefined;
   private readonly connection: LinkConnection;
-  private readonly streams = new Map<number, LinkStream>();
+  private readonly calls: CallsUnderWay<LinkStream>;
   private nextId = 1;
-  /** Frames that wait until the connection is made, or its peer is heard. */
+  /** Frames that wait until the link is open. */
   private waiting: LinkFrame[] = [];
 
   constructor(
     origin: string,
-    token: string,
+    private readonly token: string,
     watch: PeerWatch,
     private readonly onClosed: () => void,
   ) {
     const { hostname, port } = new URL(origin);
     const socket = connect({ host: hostname, port: Number(port) });
-    const timeout = setTimeout(() => this.connection.close(), CONNECT_TIMEOUT_MS);
     this.connection = new LinkConnection(socket, watch, {
       onFrame: (frame) => this.onFrame(frame),
-      onClose: () => {
-        clearTimeout(timeout);
-        this.onClose();
-      },
-    });
-    socket.once('connect', () => {
-      clearTimeout(timeout);
-      this.isConnected = true;
-      this.connection.send({ type: 'hello', token });
-      this.sendWaiting();
+      onClose: () => this.onClose(),
     });
+    this.calls = new CallsUnderWay(this.connection);
+    this.awaitConnection(socket);
   }
 
   /** Whether frames are written at once. */
   get isOpen(): boolean {
-    return this.isConnected && this.probe === undefined;
+    return this.state === 'open';
   }
 
   /** Whether the peer has fallen silent while calls are under way: it gets no new ones. */
@@ -60,11 +67,11 @@
   }
 
   get isIdle(): boolean {
-    return this.streams.size === 0;
+    return this.calls.isEmpty;
   }
 
   has(id: number): boolean {
-    return this.streams.has(id);
+    return this.calls.has(id);
   }
 
   call(call: LinkCall, listener: LinkCallListener): LinkStream {
@@ -72,8 +79,7 @@
     const id = this.nextId;
     this.nextId += 1;
     const stream = new LinkStream(this, id, listener);
-    this.streams.set(id, stream);
-    this.connection.watchPeer(true);
+    this.calls.add(id, stream);
     const { body, ...rest } = call;
     if (body instanceof Readable) {
       this.send({ type: 'call', id, ...rest });
@@ -93,55 +99,58 @@
     else this.waiting = this.waiting.filter((frame) => !('id' in frame) || frame.id !== id);
   }
 
-  private sendWaiting(): void {
-    for (const frame of this.waiting) this.connection.send(frame);
-    this.waiting = [];
+  /** Forgets a call. @returns whether it was under way */
+  release(id: number): boolean {
+    return this.calls.release(id);
   }
 
-  private probeIfStale(): void {
-    if (SYSTEM_CLOCK.now() - this.connection.arrivedAt < PROBE_AFTER_MS) return;
-    this.connection.ping();
-    // What arrived while this process stood still is read before the peer is given up.
-    this.probe = setTimeout(() => setImmediate(() => this.onProbeTimeout()), PROBE_TIMEOUT_MS);
+  finish(): void {
+    this.connection.finish();
   }
 
-  private onProbeTimeout(): void {
-    if (this.probe !== undefined) this.connection.close();
+  close(): void {
+    this.connection.close();
   }
 
-  private endProbe(): void {
-    clearTimeout(this.probe);
-    this.probe = undefined;
-    this.sendWaiting();
+  private awaitConnection(socket: Socket): void {
+    const timeout = setTimeout(() => this.connection.close(), CONNECT_TIMEOUT_MS);
+    socket.once('close', () => clearTimeout(timeout));
+    socket.once('connect', () => {
+      clearTimeout(timeout);
+      this.connection.send({ type: 'hello', token: this.token });
+      this.open();
+    });
   }
 
-  /** Forgets a call. @returns whether it was under way */
-  release(id: number): boolean {
-    const existed = this.streams.delete(id);
-    if (this.streams.size === 0) this.connection.watchPeer(false);
-    return existed;
+  private open(): void {
+    this.state = 'open';
+    for (const frame of this.waiting) this.connection.send(frame);
+    this.waiting = [];
   }
 
-  finish(): void {
-    this.connection.finish();
+  private probeIfStale(): void {
+    if (SYSTEM_CLOCK.now() - this.connection.arrivedAt < PROBE_AFTER_MS) return;
+    this.state = 'probing';
+    this.connection.ping();
+    // What arrived while this process stood still is read before the peer is given up.
+    this.probeTimer = setTimeout(() => setImmediate(() => this.onProbeTimeout()), PROBE_TIMEOUT_MS);
   }
 
-  close(): void {
-    this.connection.close();
+  private onProbeTimeout(): void {
+    if (this.state === 'probing') this.connection.close();
   }
 
   private onFrame(frame: LinkFrame): void {
-    if (this.probe !== undefined) this.endProbe();
-    if (!('id' in frame)) return;
-    this.streams.get(frame.id)?.onFrame(frame);
+    if (this.state === 'probing') {
+      clearTimeout(this.probeTimer);
+      this.open();
+    }
+    if ('id' in frame) this.calls.get(frame.id)?.onFrame(frame);
   }
 
   private onClose(): void {
     this.onClosed();
-    const wasOpen = this.isOpen;
-    clearTimeout(this.probe);
-    const streams = [...this.streams.values()];
-    this.streams.clear();
-    for (const stream of streams) stream.onClose(wasOpen);
+    clearTimeout(this.probeTimer);
+    for (const call of this.calls.releaseAll()) call.onClose(this.isOpen);
   }
 }
--- /dev/null
+++ b/src/link/server-link.ts
@@ -0,0 +1,76 @@
+/**
+ * One connection from another sidecar, at its called side.
+ *
+ * For: `link-server.ts`. Owns: whether the peer has shown the link token, and the calls under way. Relies on: the peer's
+ * first frame to carry the token; a connection that sends anything else first is closed.
+ */
+import { timingSafeEqual } from 'node:crypto';
+import type { Socket } from 'node:net';
+import { CallsUnderWay } from './calls-under-way.js';
+import { IncomingLinkCall, type LinkCallHandler } from './incoming-link-call.js';
+import { LinkConnection, type PendingFrame } from './link-connection.js';
+import type { LinkFrame } from './link-frames.js';
+import type { PeerWatch } from './peer-watch.js';
+
+export class ServerLink {
+  private readonly connection: LinkConnection;
+  private readonly calls: CallsUnderWay<IncomingLinkCall>;
+  private isTrusted = false;
+
+  constructor(
+    socket: Socket,
+    watch: PeerWatch,
+    private readonly token: Buffer,
+    private readonly handler: LinkCallHandler,
+    onClosed: () => void,
+  ) {
+    this.connection = new LinkConnection(socket, watch, {
+      onFrame: (frame) => this.onFrame(frame),
+      onClose: () => {
+        onClosed();
+        for (const call of this.calls.releaseAll()) call.onCallerGone();
+      },
+    });
+    this.calls = new CallsUnderWay(this.connection);
+  }
+
+  send(frame: LinkFrame): void {
+    this.connection.send(frame);
+  }
+
+  sendLater(pending: PendingFrame): void {
+    this.connection.sendLater(pending);
+  }
+
+  /** Forgets a call. @returns whether it was under way */
+  release(id: number): boolean {
+    return this.calls.release(id);
+  }
+
+  finish(): void {
+    this.connection.finish();
+  }
+
+  close(): void {
+    this.connection.close();
+  }
+
+  private onFrame(frame: LinkFrame): void {
+    if (frame.type === 'pong') return;
+    if (frame.type === 'hello') this.isTrusted = this.isToken(frame.token);
+    if (!this.isTrusted) {
+      this.connection.close();
+      return;
+    }
+    if (frame.type === 'call') {
+      const call = new IncomingLinkCall(frame, this);
+      this.calls.add(frame.id, call);
+      this.handler(call);
+    } else if ('id' in frame) this.calls.get(frame.id)?.onFrame(frame);
+  }
+
+  private isToken(presented: string): boolean {
+    const bytes = Buffer.from(presented);
+    return bytes.length === this.token.length && timingSafeEqual(bytes, this.token);
+  }
+}
--- a/src/observe/admin-server.ts
+++ b/src/observe/admin-server.ts
@@ -1,7 +1,8 @@
 /** Serves /metrics, /healthz and /readyz of a program. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Registry, collectDefaultMetrics } from 'prom-client';
-import { ListeningServer, type ListenAddress } from '../http/listening-server.js';
+import type { ListenAddress } from '../http/listen.js';
+import { ListeningServer } from '../http/listening-server.js';
 
 /** What an admin server shows. */
 export interface AdminOptions {
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -9,7 +9,8 @@
 import { encodeFrame, FrameReader } from '../../src/link/frame-codec.js';
 import type { LinkFrame } from '../../src/link/link-frames.js';
 import { RepeatRoom } from '../../src/retry/repeat-room.js';
-import { LinkServer, type IncomingLinkCall } from '../../src/link/link-server.js';
+import type { IncomingLinkCall } from '../../src/link/incoming-link-call.js';
+import { LinkServer } from '../../src/link/link-server.js';
 
 const TOKEN = 'a-token-of-this-test';
 const OUTCOME: Outcome = {
--- a/test/link/silent-link.test.ts
+++ b/test/link/silent-link.test.ts
@@ -11,7 +11,8 @@
 import type { Outcome } from '../../src/call/outcome.js';
 import { LinkPool } from '../../src/link/link-pool.js';
 import type { LinkCallListener } from '../../src/link/link-stream.js';
-import { LinkServer, type IncomingLinkCall } from '../../src/link/link-server.js';
+import type { IncomingLinkCall } from '../../src/link/incoming-link-call.js';
+import { LinkServer } from '../../src/link/link-server.js';
 import { LoopbackProxy, type SilentDirections } from '../../lab/soak/loopback-proxy.js';
 
 const TOKEN = 'token-of-the-silent-link-test';
