--- a/src/link/body-window.ts
+++ b/src/link/body-window.ts
@@ -1,7 +1,13 @@
-/** Holds the sender of a body back to what its receiver takes. */
+/**
+ * Flow control of one body: holds its sender back to what its receiver takes.
+ *
+ * For: both sides of a link, one window for each body that they send. Owns: the count of bytes under way. Relies on: the
+ * receiver's reports of what it has taken.
+ */
 import { BODY_WINDOW_BYTES } from './link-frames.js';
 
 export class BodyWindow {
+  /** Bytes that were sent and not yet reported as taken. */
   private underWay = 0;
 
   /** Whether more may be sent now. */
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -1,6 +1,9 @@
 /**
- * One TCP connection between two sidecars: sends frames, those of one turn of the event loop in one
- * write, and notices a peer that has fallen silent.
+ * One TCP connection between two sidecars: sends frames, those of one turn of the event loop in one write, and cuts what
+ * arrives into frames.
+ *
+ * For: both sides of a link. Owns: the socket, and the frames that were not written yet. Relies on: `peer-watch.ts` to
+ * notice a peer that has fallen silent while calls are under way.
  */
 import { SYSTEM_CLOCK } from '../common/clock.js';
 import type { Socket } from 'node:net';
@@ -8,10 +11,10 @@
 import type { LinkFrame } from './link-frames.js';
 import type { PeerWatch, WatchedPeer } from './peer-watch.js';
 
-/** Hears of a connection. */
+/** Told what happens on a connection. */
 export interface LinkConnectionListener {
   onFrame(frame: LinkFrame): void;
-  /** The connection is over. Heard once. */
+  /** The connection is over. Called once. */
   onClose(): void;
 }
 
@@ -23,6 +26,7 @@
 
 export class LinkConnection implements WatchedPeer {
   private readonly reader = new FrameReader();
+  /** Frames of this turn, not written yet. */
   private unsent: Buffer[] = [];
   private flushScheduled = false;
   /** What still has a frame to send at the end of this turn. */
@@ -41,6 +45,7 @@
   ) {
     socket.setNoDelay(true);
     socket.on('data', (bytes: Buffer) => this.onData(bytes));
+    // The error is not kept: every call on the link ends with it, and its own log line says how.
     socket.on('error', () => this.close());
     socket.on('close', () => this.close());
   }
@@ -108,6 +113,7 @@
     try {
       frames = this.reader.read(bytes);
     } catch {
+      // Not a frame, so the rest of the stream can't be read either. The calls end as if the connection had been lost.
       this.close();
       return;
     }
--- a/src/link/link-frames.ts
+++ b/src/link/link-frames.ts
@@ -1,6 +1,9 @@
 /**
- * The messages between sidecars, many calls at a time over one TCP connection. docs/design/platform.md
- * weighs this against one HTTP exchange a call.
+ * The messages between sidecars, many calls at a time over one TCP connection. docs/design/platform.md weighs this against
+ * one HTTP exchange a call.
+ *
+ * For: both sides of a link and the gate. Owns: which messages there are, and the size of a body's window. Relies on:
+ * nothing; `frame-codec.ts` gives the messages their bytes.
  */
 import type { Outcome } from '../call/outcome.js';
 import type { RawHeaders } from '../http/header-filter.js';
@@ -129,5 +132,8 @@
 
 export type LinkFrame = StreamFrame | HelloFrame | PingFrame | PongFrame;
 
-/** Bytes of a body that may be under way before the receiver says that it took some. */
+/**
+ * Bytes of a body that may be under way before the receiver says that it took some: what one call holds in memory at most
+ * on either side. Not measured.
+ */
 export const BODY_WINDOW_BYTES = 256 * 1024;
--- a/src/link/link-pool.ts
+++ b/src/link/link-pool.ts
@@ -1,4 +1,9 @@
-/** The links of one sidecar to others, by the origin of the other: one each, made when it is used. */
+/**
+ * The links of one sidecar to others, by the origin of the other: one each, made when it is used.
+ *
+ * For: the transports of the ingress. Owns: the links, and the one watch over their peers. Relies on: `peer-link.ts` to
+ * say when a link is over; the next call to that origin makes a new one.
+ */
 import type { LinkCall, LinkCallListener, LinkStream } from './link-stream.js';
 import { PeerLink } from './peer-link.js';
 import { PeerWatch } from './peer-watch.js';
@@ -11,7 +16,7 @@
 
   /**
    * Sends a call to the sidecar at `origin`.
-   * @returns undefined, and the listener hears nothing, if that sidecar has fallen silent
+   * @returns undefined, and the listener is never called, if that sidecar has fallen silent
    */
   call(origin: string, call: LinkCall, listener: LinkCallListener): LinkStream | undefined {
     const link = this.link(origin);
--- a/src/link/peer-transport.ts
+++ b/src/link/peer-transport.ts
@@ -1,4 +1,9 @@
-/** Sends the attempts of one routed call to the sidecars beside its targets. */
+/**
+ * Sends the attempts of one routed call to the sidecars beside its targets.
+ *
+ * For: the ingress. Owns: the headers that the call carries, and the state of each attempt. Relies on: `link-pool.ts` to
+ * carry the frames; an attempt to a sidecar that has fallen silent fails at once, as not written.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CallContext } from '../call/call-context.js';
 import { frameContext } from './frame-context.js';
@@ -83,11 +88,16 @@
   }
 }
 
+/**
+ * `waiting`: no answer has begun. `relaying`: its head was passed on. `over`: it ended, failed or was cancelled, and what
+ * comes late is dropped.
+ */
+type AttemptState = 'waiting' | 'relaying' | 'over';
+
 /** One attempt under way: passes the answer on to the caller with backpressure. */
 class PeerAttempt implements Attempt, LinkCallListener {
   stream: LinkStream | undefined;
-  private isRelaying = false;
-  private isOver = false;
+  private state: AttemptState = 'waiting';
   /** Bytes that the caller has not taken yet. */
   private held = 0;
 
@@ -101,51 +111,52 @@
   }
 
   cancel(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.state === 'over') return;
+    this.state = 'over';
     this.stream?.cancel();
   }
 
   onHead(status: number, headers: RawHeaders, outcome: Outcome): void {
-    if (this.isOver) return;
+    if (this.state === 'over') return;
+    this.state = 'relaying';
     this.listener.onHead({ status, outcome });
-    this.isRelaying = true;
     this.response.writeHead(status, headers);
   }
 
   onAnswer(status: number, headers: RawHeaders, outcome: Outcome, body: Buffer): void {
-    if (this.isOver) return;
+    if (this.state === 'over') return;
     this.listener.onHead({ status, outcome });
-    this.isOver = true;
+    this.state = 'over';
     this.response.writeHead(status, headers);
     this.response.end(body);
     this.listener.onEnd();
   }
 
   onRefused(outcome: Outcome): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.state === 'over') return;
+    this.state = 'over';
     this.listener.onHead({ status: 0, outcome });
   }
 
   onData(bytes: Buffer): boolean {
-    if (this.isOver || this.response.write(bytes)) return true;
+    if (this.state === 'over' || this.response.write(bytes)) return true;
     if (this.held === 0) this.response.once('drain', () => this.onDrain());
     this.held += bytes.length;
     return false;
   }
 
   onEnd(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.state === 'over') return;
+    this.state = 'over';
     this.response.end();
     this.listener.onEnd();
   }
 
   onFailure(written: boolean): void {
-    if (this.isOver) return;
-    this.isOver = true;
-    if (this.isRelaying) {
+    if (this.state === 'over') return;
+    const wasRelaying = this.state === 'relaying';
+    this.state = 'over';
+    if (wasRelaying) {
       this.response.destroy();
       this.listener.onFailure({ reason: 'broken-answer', written: true });
     } else this.listener.onFailure({ reason: written ? 'reset' : 'connect', written });
--- a/src/link/peer-watch.ts
+++ b/src/link/peer-watch.ts
@@ -1,12 +1,21 @@
 /**
- * Looks after the peers of busy connections with one timer a process: asks those that have been
- * silent for a sign of life, and gives up those that stay silent.
+ * Heartbeats of busy links, with one timer for all links of a side: asks peers that have been silent for a sign of life,
+ * and gives up those that stay silent. TCP alone notices a machine that lost power after minutes.
+ *
+ * | silent for                    | what happens                                               |
+ * | ----------------------------- | ---------------------------------------------------------- |
+ * | {@link PING_AFTER_MS}         | it is pinged, and again each {@link PING_GAP_MS}           |
+ * | {@link SUSPECT_AFTER_MS}      | it gets no new calls                                       |
+ * | {@link GIVE_UP_AFTER_MS}      | the connection is closed; its calls end as "may have run"  |
+ *
+ * For: `link-pool.ts` and `link-server.ts`. Owns: the timer and the set of busy peers. Relies on: each connection to note
+ * when anything arrived.
  */
 import { SYSTEM_CLOCK } from '../common/clock.js';
 
-/** A connection whose peer is looked after. */
+/** A connection whose peer is watched while calls are under way. */
 export interface WatchedPeer {
-  /** Monotonic milliseconds at which the peer was last heard, or its connection became busy. */
+  /** Monotonic milliseconds at which anything last arrived from the peer, or its connection became busy. */
   heardAt: number;
   /** Monotonic milliseconds at which it was last asked for a sign of life. */
   pingedAt: number;
@@ -16,19 +25,29 @@
   close(): void;
 }
 
+/** Time between two looks at the peers, in milliseconds. Not measured. */
 const CHECK_INTERVAL_MS = 100;
-/** Silence after which a busy peer is asked for a sign of life: longer than most calls take. */
+/**
+ * Silence after which a busy peer is asked for a sign of life, in milliseconds: longer than most calls take. Not measured.
+ */
 const PING_AFTER_MS = 200;
 /**
- * Silence after which a busy peer gets no new calls: it has not answered a ping for at least 150 ms, more than a way
- * there and back between regions. Calls written to a link that is cut are lost as "may have run"; before, they were for
- * the whole time until the link was given up.
+ * Silence after which a busy peer gets no new calls, in milliseconds: it has not answered a ping for at least 150 ms, more
+ * than a way there and back between regions. Without this bound, calls are written to a link that is cut, and lost as "may
+ * have run", until it is given up. `test/link/silent-link.test.ts` holds that; the figure itself is not measured.
  */
 const SUSPECT_AFTER_MS = 450;
+/**
+ * Silence after which the link is given up, in milliseconds: longer than a way there and back between regions and than a
+ * stall of either process (docs/PROOFS.md). The figure itself is not measured.
+ */
 const GIVE_UP_AFTER_MS = 1_400;
-/** A check that comes this late means that this process stood still, not its peers. */
+/**
+ * A check that comes this long after the one before means that this process stood still, not its peers. In milliseconds,
+ * not measured.
+ */
 const LATE_CHECK_MS = 250;
-/** Least time from one ping to the next, in milliseconds: a peer may work on a call for long. */
+/** Least time from one ping to the next, in milliseconds: a peer may work on a call for long. Not measured. */
 const PING_GAP_MS = 250;
 
 export class PeerWatch {
@@ -36,7 +55,7 @@
   private timer: NodeJS.Timeout | undefined;
   private checkedAt = 0;
 
-  /** Begins to look after a peer. */
+  /** Watches a peer from now on. */
   add(peer: WatchedPeer): void {
     if (this.peers.has(peer)) return;
     peer.heardAt = SYSTEM_CLOCK.now();
@@ -46,7 +65,7 @@
     this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS);
   }
 
-  /** Stops looking after a peer. */
+  /** Watches a peer no more. */
   remove(peer: WatchedPeer): void {
     this.peers.delete(peer);
     peer.isSuspect = false;
