--- a/src/http/claim-link.ts
+++ b/src/http/claim-link.ts
@@ -1,13 +1,15 @@
 /**
- * The link between nodes for claims of idempotency keys. Messages go to a node's inbound side under
- * a header of their own, so that no path of the target is taken.
+ * The link between nodes for claims of idempotency keys. Messages go to a node's inbound side under a header of their own,
+ * so that no path of the target is taken.
+ *
+ * For: the rules of `dedup`, whose messages it carries. Owns: their time limits and sizes. Relies on: the claim rules to
+ * take a message without a reply for lost. No line is logged for one: there would be one a call while a node is down.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { request } from 'undici';
 import { LINK_HEADER } from '../call/call-context.js';
-import { decodeMessage, encodeMessage, MSGPACK_TYPE } from '../common/message-codec.js';
+import { decodeMessage } from '../common/message-codec.js';
 import type { ClaimMessage, ClaimReply, ClaimTransport } from '../dedup/claim-messages.js';
-import { readMessage, writeMessage, writeStatus } from './link-messages.js';
+import { postMessage, readMessage, writeMessage, writeStatus } from './link-messages.js';
 import type { ConnectionPools } from './connection-pools.js';
 import type { BodyLimits } from './request-body.js';
 
@@ -15,11 +17,13 @@
 export const MESSAGE_HEADER = 'shoredoor-message';
 export const CLAIM_MESSAGE = 'claim';
 
+/** Longest time for a message and its reply, in milliseconds. Not measured. */
 const TIMEOUT_MS = 1_000;
 const STATUS_OK = 200;
 const STATUS_BAD_REQUEST = 400;
-/** A handover carries every claim of a node. */
+/** A handover carries every claim of a node. The figure is not measured. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
+/** The longest time for a message to arrive is not measured. */
 const BODY_LIMITS: BodyLimits = {
   bufferBytes: MAX_MESSAGE_BYTES,
   maxBytes: MAX_MESSAGE_BYTES,
@@ -51,19 +55,12 @@
 
   private async send(origin: string, message: ClaimMessage): Promise<ClaimReply | undefined> {
     const { pools, linkToken } = this.options;
-    const response = await request(`${origin}/`, {
+    const { status, bytes } = await postMessage(`${origin}/`, message, {
       dispatcher: pools.get(origin),
-      method: 'POST',
-      headers: {
-        [LINK_HEADER]: linkToken,
-        [MESSAGE_HEADER]: CLAIM_MESSAGE,
-        'content-type': MSGPACK_TYPE,
-      },
-      body: encodeMessage(message),
+      headers: { [LINK_HEADER]: linkToken, [MESSAGE_HEADER]: CLAIM_MESSAGE },
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
-    const bytes = Buffer.from(await response.body.arrayBuffer());
-    return response.statusCode === STATUS_OK ? decodeMessage<ClaimReply>(bytes) : undefined;
+    return status === STATUS_OK ? decodeMessage<ClaimReply>(bytes) : undefined;
   }
 }
 
--- a/src/http/control-client.ts
+++ b/src/http/control-client.ts
@@ -1,11 +1,17 @@
-/** Sends internal messages to control replicas over HTTP. */
-import { Agent, request } from 'undici';
-import { decodeMessage, encodeMessage, MSGPACK_TYPE } from '../common/message-codec.js';
+/**
+ * Sends internal messages to control replicas over HTTP.
+ *
+ * For: followers and replicas. Owns: the connections to the replicas. Relies on: whoever sends to set the time limit and
+ * to log a failure, which is part of the result.
+ */
+import { Agent } from 'undici';
+import { decodeMessage } from '../common/message-codec.js';
+import { postMessage } from './link-messages.js';
 
 const STATUS_OK = 200;
 /**
- * Longest time to make a connection. A lost opening packet is sent again after 1, 3 and 7 seconds only, so
- * waiting for it would cost a replica that is back up to as long as it was gone.
+ * Longest time to make a connection, in milliseconds. A lost opening packet is sent again after 1, 3 and 7 seconds only, so
+ * waiting for it would cost a replica that is back up to as long as it was gone. The figure is not measured.
  */
 const CONNECT_TIMEOUT_MS = 500;
 
@@ -68,17 +74,15 @@
   ): Promise<Exchange<Answer>> {
     const timeout = AbortSignal.timeout(timeoutMs);
     try {
-      const response = await request(origin + path, {
+      const { status, bytes } = await postMessage(origin + path, message, {
         dispatcher: this.agent,
-        method: 'POST',
-        headers: { authorization: `Bearer ${this.linkToken}`, 'content-type': MSGPACK_TYPE },
-        body: encodeMessage(message),
+        headers: { authorization: `Bearer ${this.linkToken}` },
         signal: abort === undefined ? timeout : AbortSignal.any([timeout, abort]),
+        onReceived: (count) => {
+          if (progress !== undefined) progress.receivedBytes += count;
+        },
       });
-      const bytes = await receive(response.body, progress);
-      if (response.statusCode !== STATUS_OK) {
-        return failed(ExchangeFailure.Refused, `status ${response.statusCode}`);
-      }
+      if (status !== STATUS_OK) return failed(ExchangeFailure.Refused, `status ${status}`);
       return { type: 'answered', answer: decodeMessage<Answer>(bytes) };
     } catch (error) {
       if (abort?.aborted === true) return failed(ExchangeFailure.Aborted, 'ended by the caller');
@@ -88,19 +92,6 @@
   }
 }
 
-/** Reads a whole body. */
-async function receive(
-  body: AsyncIterable<Buffer>,
-  progress: ExchangeProgress | undefined,
-): Promise<Buffer> {
-  const chunks: Buffer[] = [];
-  for await (const chunk of body) {
-    chunks.push(chunk);
-    if (progress !== undefined) progress.receivedBytes += chunk.length;
-  }
-  return Buffer.concat(chunks);
-}
-
 function failed(failure: ExchangeFailure, detail: string): Exchange<never> {
   return { type: 'failed', failure, detail };
 }
--- a/src/http/node-transport.ts
+++ b/src/http/node-transport.ts
@@ -1,6 +1,10 @@
-/** Sends the attempts of one call to the nodes of a service over HTTP. */
+/**
+ * Sends the attempts of one call to the nodes of a service over HTTP.
+ *
+ * For: edges and the outbound side of nodes. Owns: the headers that carry the call's context and its trace. Relies on:
+ * the pool of each node, and on `relay-handler.ts` for the answer.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Dispatcher } from 'undici';
 import type { Clock } from '../common/clock.js';
 import {
   CONTEXT_HEADER,
@@ -20,8 +24,9 @@
 } from '../call/transport.js';
 import type { EndpointRecord } from '../call/endpoint.js';
 import type { ConnectionPools } from './connection-pools.js';
-import { endToEndHeaders, type RawHeaders } from './header-filter.js';
+import type { RawHeaders } from './header-filter.js';
 import { RelayHandler, type RelayPolicy } from './relay-handler.js';
+import { relayedHeaders, sendRelayed } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
 /** What the transports of one process share. */
@@ -31,8 +36,6 @@
   readonly linkToken: string;
 }
 
-const REPLACED_HEADERS: ReadonlySet<string> = new Set(['traceparent', 'expect']);
-
 export class NodeTransport implements OutboundTransport {
   private readonly baseHeaders: RawHeaders;
 
@@ -43,11 +46,7 @@
     private readonly body: RequestBody,
     private readonly response: ServerResponse,
   ) {
-    this.baseHeaders = endToEndHeaders(
-      message.rawHeaders,
-      message.headers.connection,
-      REPLACED_HEADERS,
-    );
+    this.baseHeaders = relayedHeaders(message);
   }
 
   get replayable(): boolean {
@@ -56,6 +55,7 @@
 
   send(endpoint: EndpointRecord, envelope: AttemptEnvelope, listener: AttemptListener): Attempt {
     const { clock, pools, linkToken } = this.options;
+    const { message, body } = this;
     const context = { ...this.context, retries: envelope.retries };
     const traceParent = { traceId: context.requestId, spanId: newSpanId() };
     const headers: RawHeaders = [
@@ -68,16 +68,7 @@
       linkToken,
     ];
     const handler = new RelayHandler(this.response, this.relayPolicy(), listener);
-    pools.get(endpoint.origin).dispatch(
-      {
-        method: this.message.method as Dispatcher.HttpMethod,
-        path: this.message.url ?? '/',
-        headers,
-        body: this.body.content,
-      },
-      handler,
-    );
-    return handler;
+    return sendRelayed(pools.get(endpoint.origin), { message, body, headers }, handler);
   }
 
   private relayPolicy(): RelayPolicy {
--- a/src/http/relay-handler.ts
+++ b/src/http/relay-handler.ts
@@ -1,7 +1,9 @@
 /**
- * Receives one attempt's answer from undici and passes it on to the caller's response with
- * backpressure. An answer that breaks off destroys the response, so the caller never takes a part
- * for the whole (RFC 9112, section 8).
+ * Receives one attempt's answer from undici and passes it on to the caller's response with backpressure. An answer that
+ * breaks off destroys the response, so the caller never takes a part for the whole (RFC 9112, section 8).
+ *
+ * For: every transport that sends over HTTP. Owns: the state of the attempt. Relies on: its listener to decide whether an
+ * answer is passed on, and on its policy for what differs between transports.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -23,15 +25,19 @@
   onUnanswered?(): void;
 }
 
-type State = 'waiting' | 'relaying' | 'discarding' | 'done';
+/**
+ * `waiting`: no answer has begun. `relaying`: it is passed on as it arrives. `discarding`: it arrives and is dropped.
+ * `cancelled`: the attempt was stopped from this side. `done`: it ended or failed.
+ */
+type State = 'waiting' | 'relaying' | 'discarding' | 'cancelled' | 'done';
 
+/** Undici gives it back to {@link RelayHandler.onResponseError}, which looks at neither class nor code. */
 const ABORT_REASON = new Error('shoredoor: the attempt was stopped');
 const NOTHING_DROPPED: ReadonlySet<string> = new Set();
 
 export class RelayHandler implements Dispatcher.DispatchHandler, Attempt {
   written = false;
   private state: State = 'waiting';
-  private cancelled = false;
   private controller: Dispatcher.DispatchController | undefined;
   private readonly onDrain = (): void => this.controller?.resume();
 
@@ -41,12 +47,15 @@
     private readonly listener: AttemptListener,
   ) {}
 
-  /** Stops the attempt; the listener hears nothing more. */
+  private get isOver(): boolean {
+    return this.state === 'done' || this.state === 'cancelled';
+  }
+
+  /** Stops the attempt; the listener is not called any more. */
   cancel(): void {
-    if (this.state === 'done') return;
+    if (this.isOver) return;
     if (this.state === 'waiting' && this.written) this.policy.onUnanswered?.();
-    this.cancelled = true;
-    this.state = 'done';
+    this.state = 'cancelled';
     this.response.off('drain', this.onDrain);
     this.controller?.abort(ABORT_REASON);
   }
@@ -54,7 +63,7 @@
   /** Undici is about to write the request to a connection. */
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
-    if (this.cancelled) controller.abort(ABORT_REASON);
+    if (this.state === 'cancelled') controller.abort(ABORT_REASON);
     else this.written = true;
   }
 
@@ -63,14 +72,14 @@
     statusCode: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.state === 'done' || statusCode < 200) return;
+    if (this.isOver || statusCode < 200) return;
     this.policy.onAnswered?.();
     const decision = this.listener.onHead(this.policy.readHead(statusCode, headers));
     if (decision === 'discard') {
       this.state = 'discarding';
       return;
     }
-    if (this.cancelled) return;
+    if (this.isOver) return;
     this.state = 'relaying';
     this.relayHead(controller, statusCode, headers);
   }
@@ -93,7 +102,7 @@
       this.listener.onEnd();
       return;
     }
-    this.state = 'done';
+    if (this.state !== 'cancelled') this.state = 'done';
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, _error: Error): void {
@@ -101,13 +110,10 @@
       this.breakOff();
       return;
     }
-    const { state } = this;
-    this.state = 'done';
+    const { state, written } = this;
+    if (state !== 'cancelled') this.state = 'done';
     if (state === 'waiting') {
-      this.listener.onFailure({
-        reason: this.written ? 'reset' : 'connect',
-        written: this.written,
-      });
+      this.listener.onFailure({ reason: written ? 'reset' : 'connect', written });
     }
   }
 
--- a/src/http/target-transport.ts
+++ b/src/http/target-transport.ts
@@ -1,4 +1,9 @@
-/** Sends one call from a node to its target over HTTP. */
+/**
+ * Sends one call from a node to its target over HTTP.
+ *
+ * For: the inbound side of a node. Owns: the headers that the target gets. Relies on: `relay-handler.ts` for the answer,
+ * and on the caller to stop the attempt at its deadline: the connection has no limit of its own.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
 import type { Clock } from '../common/clock.js';
@@ -6,8 +11,8 @@
 import { formatOutcome, type Outcome } from '../call/outcome.js';
 import { formatTraceParent } from '../call/trace-parent.js';
 import type { Attempt, AttemptListener, TargetTransport } from '../call/transport.js';
-import { endToEndHeaders } from './header-filter.js';
 import { RelayHandler } from './relay-handler.js';
+import { relayedHeaders, sendRelayed } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
 /** One call to the target. */
@@ -22,8 +27,6 @@
   readonly takeOutcome: () => Outcome;
 }
 
-const REPLACED_HEADERS: ReadonlySet<string> = new Set(['traceparent', 'expect']);
-
 export class HttpTargetTransport implements TargetTransport {
   constructor(
     private readonly clock: Clock,
@@ -33,11 +36,7 @@
 
   send(listener: AttemptListener): Attempt {
     const { context, spanId, message, body, response, takeOutcome } = this.request;
-    const headers = endToEndHeaders(
-      message.rawHeaders,
-      message.headers.connection,
-      REPLACED_HEADERS,
-    );
+    const headers = relayedHeaders(message);
     const remainingMs = Math.max(0, Math.floor(context.deadlineAt - this.clock.now()));
     headers.push(
       'traceparent',
@@ -53,15 +52,6 @@
       },
       listener,
     );
-    this.pool.dispatch(
-      {
-        method: message.method as Dispatcher.HttpMethod,
-        path: message.url ?? '/',
-        headers,
-        body: body.content,
-      },
-      handler,
-    );
-    return handler;
+    return sendRelayed(this.pool, { message, body, headers }, handler);
   }
 }
