--- a/lab/cli/main.ts
+++ b/lab/cli/main.ts
@@ -69,6 +69,9 @@
   await prepareHashing();
   try {
     cli.parse(process.argv, { run: false });
+    if (cli.matchedCommand === undefined && cli.options.help !== true) {
+      throw new UsageError(`unknown command '${cli.args[0] ?? ''}'; see --help`);
+    }
     await cli.runMatchedCommand();
   } catch (error) {
     process.exitCode = reportError(error);
