--- a/bench/call-path.ts
+++ b/bench/call-path.ts
@@ -2,30 +2,19 @@
  * What the call path costs: direct, two bare proxies in a row, and shoredoor's edge and node, in turn
  * in one run, several rounds, medians. Usage: npm run bench [-- --rounds N]
  */
-import { mkdtempSync, writeFileSync } from 'node:fs';
-import { hash } from 'node:crypto';
+import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { fileURLToPath } from 'node:url';
 import { cac } from 'cac';
 import { request } from 'undici';
-import { stringify } from 'yaml';
-import { ResourceClient } from '../src/client/resource-client.js';
 import { parseResource } from '../src/policy/resource-schema.js';
-import { FleetChild } from '../lab/fleet/child-process.js';
-import { freePorts } from '../lab/fleet/free-ports.js';
 import { median } from '../lab/experiment/summary.js';
+import { ControlReplicas } from '../lab/fleet/control-replicas.js';
+import { ANY_PORT, ProgramProcess } from '../lab/fleet/program-process.js';
+import { processorMsOf, startBareProxies, startBenchTarget } from './comparison.js';
 import { LoadSource, quantile, type LoadResult } from './load.js';
-import { processorMs, residentMegabytes } from './process-usage.js';
-
-const SCRIPTS = {
-  target: fileURLToPath(new URL('./bench-target.js', import.meta.url)),
-  proxy: fileURLToPath(new URL('./bare-proxy.js', import.meta.url)),
-  product: fileURLToPath(new URL('../src/cli/main.js', import.meta.url)),
-};
-const LINK_TOKEN = 'bench-link-token-0123456789';
-const OPERATOR_TOKEN = 'bench-operator-token';
-const ANY_PORT = { host: '127.0.0.1', port: 0 };
+import { residentMegabytes } from './process-usage.js';
+
 const CALLS_PER_SECOND = 350;
 const CALLS_PER_ROUND = 2_800;
 const SATURATING_CALLS = 15_000;
@@ -35,12 +24,17 @@
 const MEMORY_STEPS = 4;
 const READY_POLL_MS = 100;
 
+/** A process that is measured. */
+interface MeasuredProcess {
+  readonly pid: number;
+}
+
 /** One way from the caller to the target. */
 interface Path {
   readonly name: string;
   readonly source: LoadSource;
-  /** Processes between caller and target. */
-  readonly hops: readonly FleetChild[];
+  /** Processes between caller and target, the caller's side first. */
+  readonly hops: readonly MeasuredProcess[];
 }
 
 /** The figures of one way in one round. */
@@ -70,43 +64,31 @@
   },
 });
 
-async function startProduct(
-  workDir: string,
-  program: string,
-  id: string,
-  settings: object,
-): Promise<FleetChild> {
-  const file = join(workDir, `${id}.yaml`);
-  const common = { id, zone: 'zone-a', admin: ANY_PORT, linkToken: LINK_TOKEN };
-  writeFileSync(file, stringify({ ...common, ...settings }));
-  const args = [program, '--config', file];
-  return FleetChild.start(id, SCRIPTS.product, args, join(workDir, `${id}.log`));
+/** Shoredoor's own way to the target. */
+interface ProductPath {
+  readonly control: ControlReplicas;
+  readonly edge: ProgramProcess;
+  readonly node: ProgramProcess;
 }
 
-async function startShoredoor(workDir: string, target: string): Promise<FleetChild[]> {
-  const [port = 0] = await freePorts(1);
-  const origin = `http://127.0.0.1:${port}`;
-  const control = await startProduct(workDir, 'control', 'control-1', {
-    listen: { host: '127.0.0.1', port },
-    dataDir: join(workDir, 'control-1'),
-    replicas: [{ id: 'control-1', origin }],
-    tokens: [{ name: 'bench', role: 'write', tokenHash: hash('sha256', OPERATOR_TOKEN, 'hex') }],
-  });
-  const client = new ResourceClient({ origins: [origin], token: OPERATOR_TOKEN });
-  await client.put(POLICY, { changeId: 'bench' });
-  const node = await startProduct(workDir, 'node', 'node-1', {
+async function startProduct(workDir: string, target: string): Promise<ProductPath> {
+  const control = await ControlReplicas.start(workDir, ['zone-a']);
+  await control.client().put(POLICY, { changeId: 'bench' });
+  const node = new ProgramProcess('node-1', 'node', workDir, {
     service: 'bench',
     inbound: ANY_PORT,
     outbound: ANY_PORT,
     target: { origin: target },
-    control: [origin],
+    control: control.origins,
   });
-  const edge = await startProduct(workDir, 'edge', 'edge-1', {
+  await node.start();
+  const edge = new ProgramProcess('edge-1', 'edge', workDir, {
     listen: ANY_PORT,
-    control: [origin],
+    control: control.origins,
   });
+  await edge.start();
   await untilServed(edge.origin('listen'));
-  return [edge, node, control];
+  return { control, edge, node };
 }
 
 async function untilServed(origin: string): Promise<void> {
@@ -120,9 +102,10 @@
 
 async function measure(path: Path): Promise<RoundResult> {
   const steady = await path.source.atRate(CALLS_PER_SECOND, CALLS_PER_ROUND);
-  const before = path.hops.reduce((sum, hop) => sum + processorMs(hop.pid), 0);
+  const pids = path.hops.map(({ pid }) => pid);
+  const before = processorMsOf(pids);
   const full = await path.source.atOnce(SATURATING_CONCURRENCY, SATURATING_CALLS);
-  const after = path.hops.reduce((sum, hop) => sum + processorMs(hop.pid), 0);
+  const after = processorMsOf(pids);
   failOnErrors(path.name, steady, full);
   return {
     p50: quantile(steady.latenciesMs, 0.5),
@@ -174,10 +157,12 @@
   );
 }
 
-async function measureMemory(path: Path): Promise<void> {
+async function measureMemory({ source }: Path, { edge, node }: ProductPath): Promise<void> {
   for (let step = 0; step <= MEMORY_STEPS; step += 1) {
-    if (step > 0) await path.source.atOnce(SATURATING_CONCURRENCY, MEMORY_CALLS / MEMORY_STEPS);
-    const sizes = path.hops.map((hop) => `${hop.name} ${residentMegabytes(hop.pid).toFixed(0)} MB`);
+    if (step > 0) await source.atOnce(SATURATING_CONCURRENCY, MEMORY_CALLS / MEMORY_STEPS);
+    const sizes = [edge, node].map(
+      ({ id, pid }) => `${id} ${residentMegabytes(pid).toFixed(0)} MB`,
+    );
     print(`after ${(step * MEMORY_CALLS) / MEMORY_STEPS} calls: ${sizes.join(', ')}`);
   }
 }
@@ -188,26 +173,29 @@
 
 async function run(rounds: number): Promise<void> {
   const workDir = mkdtempSync(join(tmpdir(), 'shoredoor-bench-'));
-  const children: FleetChild[] = [];
-  const start = async (name: string, script: string, args: string[]): Promise<FleetChild> => {
-    const child = await FleetChild.start(name, script, args, join(workDir, `${name}.log`));
-    children.push(child);
-    return child;
-  };
+  const running: { kill(): Promise<void> }[] = [];
   try {
-    const target = (await start('target', SCRIPTS.target, [])).origin('listen');
-    const inner = await start('bare-inner', SCRIPTS.proxy, [target]);
-    const outer = await start('bare-outer', SCRIPTS.proxy, [inner.origin('listen')]);
-    const [edge, node, control] = await startShoredoor(workDir, target);
-    children.push(edge!, node!, control!);
+    const target = await startBenchTarget(workDir);
+    running.push(target);
+    const targetOrigin = target.origin('listen');
+    const { outer, inner } = await startBareProxies(workDir, targetOrigin);
+    running.push(outer, inner);
+    const product = await startProduct(workDir, targetOrigin);
+    const { edge, node } = product;
+    running.push(edge, node, product.control);
+    const ours: Path = {
+      name: 'shoredoor',
+      source: new LoadSource(edge.origin('listen')),
+      hops: [edge, node],
+    };
     const paths: Path[] = [
-      { name: 'direct', source: new LoadSource(target), hops: [] },
+      { name: 'direct', source: new LoadSource(targetOrigin), hops: [] },
       {
         name: 'bare proxies',
         source: new LoadSource(outer.origin('listen')),
         hops: [outer, inner],
       },
-      { name: 'shoredoor', source: new LoadSource(edge!.origin('listen')), hops: [edge!, node!] },
+      ours,
     ];
     for (const path of paths) await path.source.atOnce(SATURATING_CONCURRENCY, WARMUP_CALLS);
     const results = new Map<string, RoundResult[]>(paths.map((path) => [path.name, []]));
@@ -216,10 +204,10 @@
       print(`round ${round + 1} of ${rounds} done`);
     }
     report(results);
-    await measureMemory(paths[2]!);
+    await measureMemory(ours, product);
     await Promise.all(paths.map((path) => path.source.close()));
   } finally {
-    await Promise.all(children.map((child) => child.kill()));
+    await Promise.all(running.map((each) => each.kill()));
   }
 }
 
--- a/bench/cold-calls.ts
+++ b/bench/cold-calls.ts
@@ -39,8 +39,8 @@
   const fleet = new SidecarFleet(mkdtempSync(join(workDir, 'fleet-')), new URL(target).host);
   try {
     await fleet.start(2);
-    const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.child;
-    const pids = fleet.sidecars.map(({ child }) => child.pid);
+    const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.process;
+    const pids = fleet.sidecars.map(({ process }) => process.pid);
     return await measureCalls(ingress.origin('outbound'), pids);
   } finally {
     await fleet.kill();
--- a/bench/comparison.ts
+++ b/bench/comparison.ts
@@ -1,4 +1,4 @@
-/** What the benches of sidecars share: the target, two bare proxies to compare with, and the processor time of several processes. */
+/** What the benches share: the target, two bare proxies to compare with, and the processor time of several processes. */
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { FleetChild } from '../lab/fleet/child-process.js';
@@ -23,16 +23,28 @@
   return FleetChild.start('target', SCRIPTS.target, [], join(workDir, 'target.log'));
 }
 
+/** Two bare proxies in a row before a target. */
+export interface BareProxies {
+  readonly outer: FleetChild;
+  readonly inner: FleetChild;
+}
+
+/** Starts the proxies; their logs go into `workDir`. */
+export async function startBareProxies(workDir: string, target: string): Promise<BareProxies> {
+  const start = (name: string, origin: string): Promise<FleetChild> =>
+    FleetChild.start(name, SCRIPTS.proxy, [origin], join(workDir, `${name}.log`));
+  const inner = await start('bare-inner', target);
+  const outer = await start('bare-outer', inner.origin('listen'));
+  return { outer, inner };
+}
+
 /** Runs `measure` with two bare proxies in a row before `target`, and ends them. */
 export async function withBareProxies<Result>(
   workDir: string,
   target: string,
   measure: (origin: string, pids: readonly number[]) => Promise<Result>,
 ): Promise<Result> {
-  const start = (name: string, origin: string): Promise<FleetChild> =>
-    FleetChild.start(name, SCRIPTS.proxy, [origin], join(workDir, `${name}.log`));
-  const inner = await start('bare-inner', target);
-  const outer = await start('bare-outer', inner.origin('listen'));
+  const { outer, inner } = await startBareProxies(workDir, target);
   try {
     return await measure(outer.origin('listen'), [inner.pid, outer.pid]);
   } finally {
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -49,13 +49,13 @@
   const fleet = new SidecarFleet(workDir, new URL(target).host);
   try {
     await fleet.start(size);
-    const pids = fleet.sidecars.map(({ child }) => child.pid);
+    const pids = fleet.sidecars.map(({ process }) => process.pid);
     const startProcessorMs = median(pids.map(processorMs));
     await sleep(SETTLE_MS);
     const idleFrom = processorMsOf(pids);
     await sleep(IDLE_MS);
     const idleMsPerSecond = ((processorMsOf(pids) - idleFrom) * MILLISECONDS) / IDLE_MS / size;
-    const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.child;
+    const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.process;
     const source = new LoadSource(ingress.origin('outbound'), REQUEST_HEADERS);
     // A gate that has just started lets in no more than it has seen answered: the first calls come one by one.
     await source.atOnce(1, FIRST_CALLS);
--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -1,15 +1,9 @@
 /** A control replica and sidecars as real processes on loopback, all beside one stand-in target. */
-import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { stringify } from 'yaml';
-import { FleetChild } from '../lab/fleet/child-process.js';
 import { freePorts } from '../lab/fleet/free-ports.js';
+import { ANY_PORT, ProgramProcess } from '../lab/fleet/program-process.js';
 
-const PRODUCT_SCRIPT = fileURLToPath(new URL('../src/cli/main.js', import.meta.url));
-const LINK_TOKEN = 'bench-link-token-0123456789';
-const ANY_PORT = { host: '127.0.0.1', port: 0 };
 /** As targets of the users' platform report themselves. */
 const REPORT_INTERVAL_MS = 1_500;
 const TARGET_SLOTS = 64;
@@ -21,8 +15,8 @@
 const SERVICES = ['caller', 'callee'] as const;
 
 /** One sidecar and what its start took. */
-export interface MeasuredSidecar {
-  readonly child: FleetChild;
+interface MeasuredSidecar {
+  readonly process: ProgramProcess;
   readonly service: (typeof SERVICES)[number];
   /** Milliseconds from its start until it listens. */
   readonly startMs: number;
@@ -30,7 +24,7 @@
 
 export class SidecarFleet {
   readonly sidecars: MeasuredSidecar[] = [];
-  private control: FleetChild | undefined;
+  private control: ProgramProcess | undefined;
   private controlOrigin = '';
   private reports: NodeJS.Timeout | undefined;
   private sequence = 0;
@@ -53,14 +47,14 @@
   /** Ends every process that was started here. */
   async kill(): Promise<void> {
     clearInterval(this.reports);
-    await Promise.all(this.sidecars.map(({ child }) => child.kill()));
+    await Promise.all(this.sidecars.map(({ process }) => process.kill()));
     await this.control?.kill();
   }
 
   private async startControl(): Promise<void> {
     const [port = 0] = await freePorts(1);
     this.controlOrigin = `http://127.0.0.1:${port}`;
-    this.control = await this.startProgram('control', 'control-1', {
+    this.control = new ProgramProcess('control-1', 'control', this.workDir, {
       listen: { host: '127.0.0.1', port },
       advertise: this.controlOrigin,
       seeds: [this.controlOrigin],
@@ -68,6 +62,7 @@
       dataDir: join(this.workDir, 'control-1'),
       declarations: 'open',
     });
+    await this.control.start();
   }
 
   private async declare(): Promise<void> {
@@ -91,8 +86,7 @@
 
   private async startSidecar(index: number): Promise<void> {
     const service = SERVICES[index % SERVICES.length]!;
-    const startedAt = performance.now();
-    const child = await this.startProgram('sidecar', `sidecar-${index}`, {
+    const process = new ProgramProcess(`sidecar-${index}`, 'sidecar', this.workDir, {
       service,
       inbound: ANY_PORT,
       outbound: ANY_PORT,
@@ -100,24 +94,18 @@
       control: [this.controlOrigin],
       heartbeatIntervalMs: 1_000,
     });
-    this.sidecars.push({ child, service, startMs: performance.now() - startedAt });
-  }
-
-  private startProgram(program: string, id: string, settings: object): Promise<FleetChild> {
-    const file = join(this.workDir, `${id}.yaml`);
-    const common = { id, zone: 'zone-a', admin: ANY_PORT, linkToken: LINK_TOKEN };
-    writeFileSync(file, stringify({ ...common, ...settings }));
-    const args = [program, '--config', file];
-    return FleetChild.start(id, PRODUCT_SCRIPT, args, join(this.workDir, `${id}.log`));
+    const startedAt = performance.now();
+    await process.start();
+    this.sidecars.push({ process, service, startMs: performance.now() - startedAt });
   }
 
   private async reportTargets(): Promise<void> {
     this.sequence += 1;
     const { sequence, targetAddress: address } = this;
     await Promise.all(
-      this.sidecars.map(async ({ child, service }) => {
-        const origin = child.origin('registration');
-        const response = await request(`${origin}/v1/instances/${child.name}-target`, {
+      this.sidecars.map(async ({ process, service }) => {
+        const origin = process.origin('registration');
+        const response = await request(`${origin}/v1/instances/${process.id}-target`, {
           method: 'PUT',
           body: JSON.stringify({ service, address, slots: TARGET_SLOTS, state: 'ready', sequence }),
         });
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -1,31 +1,27 @@
-/** Starts a whole deployment as real processes on loopback addresses, and disturbs it. */
-import { mkdirSync, writeFileSync } from 'node:fs';
-import { hash } from 'node:crypto';
+/**
+ * A whole deployment of edges, nodes and targets as real processes on loopback, and what disturbs it. Owns the
+ * processes and the records of what targets ran; relies on the stand-in back end for the targets' work.
+ */
+import { mkdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
-import { stringify } from 'yaml';
-import { ResourceClient } from '../../src/client/resource-client.js';
 import { readDeclarations } from '../../src/cli/resource-files.js';
 import type { ExecutionRecord } from '../model/backend-model.js';
 import { placeTargets, type Deployment, type TargetPlacement } from '../model/deployment.js';
 import { BACKEND_COMMANDS } from '../process/backend-process.js';
 import { FleetChild } from './child-process.js';
+import { ControlReplicas } from './control-replicas.js';
 import { readExecutions } from './execution-records.js';
-import { freePorts } from './free-ports.js';
+import { ANY_PORT, ProgramProcess } from './program-process.js';
 
-const PRODUCT_SCRIPT = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
 const LAB_SCRIPT = fileURLToPath(new URL('../cli/main.js', import.meta.url));
-const LINK_TOKEN = 'lab-link-token-0123456789';
-const OPERATOR_TOKEN = 'lab-operator-token';
-const ANY_PORT = { host: '127.0.0.1', port: 0 };
 const READY_TIMEOUT_MS = 30_000;
 const READY_POLL_MS = 100;
-const STOP_TIMEOUT_MS = 20_000;
 const CONTROL_REPLICAS = 3;
 
 /** Where a fleet keeps its files and how large it is. */
-export interface FleetOptions {
+interface FleetOptions {
   readonly deployment: Deployment;
   /** File that the deployment was read from; children read it again. */
   readonly deploymentFile: string;
@@ -37,39 +33,32 @@
   readonly seed: number;
 }
 
-/** A target, its node and their processes. */
-export class FleetTarget {
-  constructor(
-    readonly placement: TargetPlacement,
-    public backend: FleetChild,
-    public node: FleetChild,
-  ) {}
-}
-
-/** One control replica: where it listens, and its process while it runs. */
-export class FleetControl {
-  child: FleetChild | undefined;
-
-  constructor(
-    readonly id: string,
-    readonly origin: string,
-    readonly dataDir: string,
-  ) {}
+/** A target, its node and their processes, which change with a restart. */
+interface FleetTarget {
+  readonly placement: TargetPlacement;
+  backend: FleetChild;
+  node: ProgramProcess;
 }
 
 export class Fleet {
-  readonly controls: FleetControl[] = [];
-  readonly edges: FleetChild[] = [];
   readonly targets: FleetTarget[] = [];
+  private readonly edges: ProgramProcess[] = [];
 
-  private constructor(private readonly options: FleetOptions) {}
+  private constructor(
+    private readonly options: FleetOptions,
+    private readonly control: ControlReplicas,
+  ) {}
 
   /** Starts every process, applies the declarations, and waits until all are ready. */
   static async start(options: FleetOptions): Promise<Fleet> {
     mkdirSync(options.workDir, { recursive: true });
-    const fleet = new Fleet(options);
+    const { zones } = options.deployment;
+    const zonesOfControl = Array.from({ length: CONTROL_REPLICAS }, (_, index) =>
+      inTurn(zones, index),
+    );
+    const control = await ControlReplicas.start(options.workDir, zonesOfControl);
+    const fleet = new Fleet(options, control);
     try {
-      await fleet.startControls();
       await fleet.applyDeclarations();
       await fleet.startTargets();
       await fleet.startEdges();
@@ -86,10 +75,6 @@
     return this.edges.map((edge) => edge.origin('listen'));
   }
 
-  private client(): ResourceClient {
-    return new ResourceClient({ origins: this.controlOrigins(), token: OPERATOR_TOKEN });
-  }
-
   target(nodeId: string): FleetTarget {
     const found = this.targets.find((target) => target.placement.nodeId === nodeId);
     if (found === undefined) throw new Error(`the fleet has no target '${nodeId}'`);
@@ -132,22 +117,6 @@
     backend.signal(signal);
   }
 
-  private async startControl(control: FleetControl): Promise<void> {
-    const { deployment } = this.options;
-    const index = this.controls.indexOf(control);
-    const settings = {
-      id: control.id,
-      zone: deployment.zones[index % deployment.zones.length],
-      admin: ANY_PORT,
-      listen: { host: '127.0.0.1', port: Number(new URL(control.origin).port) },
-      linkToken: LINK_TOKEN,
-      dataDir: control.dataDir,
-      replicas: this.controls.map(({ id, origin }) => ({ id, origin })),
-      tokens: [{ name: 'lab', role: 'write', tokenHash: hash('sha256', OPERATOR_TOKEN, 'hex') }],
-    };
-    control.child = await this.startProduct('control', control.id, settings);
-  }
-
   /** What ran at each target since `from` (absolute milliseconds), by node id, in run time. */
   executions(from: number): Map<string, ExecutionRecord[]> {
     return new Map(
@@ -159,55 +128,21 @@
     );
   }
 
-  /** Stops everything in order. @returns the exit codes of the product's processes by name */
-  async stop(): Promise<Map<string, number | null>> {
-    const codes = new Map<string, number | null>();
-    const stopAll = async (children: readonly FleetChild[]): Promise<void> => {
-      await Promise.all(
-        children.map(async (child) => codes.set(child.name, await child.stop(STOP_TIMEOUT_MS))),
-      );
-    };
-    await stopAll(this.edges);
-    await stopAll(this.targets.map((target) => target.node));
-    await stopAll(this.controlChildren());
-    await Promise.all(this.targets.map((target) => target.backend.kill()));
-    return codes;
-  }
-
   /** Ends everything at once. */
   async kill(): Promise<void> {
     const children = [
       ...this.edges,
       ...this.targets.flatMap((target) => [target.node, target.backend]),
-      ...this.controlChildren(),
     ];
-    await Promise.all(children.map((child) => child.kill()));
-  }
-
-  private controlChildren(): FleetChild[] {
-    return this.controls.flatMap((control) => control.child ?? []);
-  }
-
-  private controlOrigins(): string[] {
-    return this.controls.map((control) => control.origin);
+    await Promise.all([...children.map((child) => child.kill()), this.control.kill()]);
   }
 
   private recordFile(nodeId: string): string {
     return join(this.options.workDir, `${nodeId}.executions`);
   }
 
-  private async startControls(): Promise<void> {
-    const ports = await freePorts(CONTROL_REPLICAS);
-    for (const [index, port] of ports.entries()) {
-      const id = `control-${index + 1}`;
-      const dataDir = join(this.options.workDir, id);
-      this.controls.push(new FleetControl(id, `http://127.0.0.1:${port}`, dataDir));
-    }
-    await Promise.all(this.controls.map((control) => this.startControl(control)));
-  }
-
   private async applyDeclarations(): Promise<void> {
-    const client = this.client();
+    const client = this.control.client();
     for (const { resource } of readDeclarations(this.options.declarations)) {
       const changeId = `lab/${resource.kind}/${resource.name}`;
       const answer = await client.put(resource, { changeId });
@@ -240,56 +175,39 @@
       ['backend', ...options.flat()],
       join(workDir, `${nodeId}.backend.log`),
     );
-    const node = await this.startProduct('node', nodeId, {
-      id: nodeId,
+    const node = new ProgramProcess(nodeId, 'node', workDir, {
       zone,
       service: service.name,
-      admin: ANY_PORT,
       inbound: ANY_PORT,
       outbound: ANY_PORT,
       target: { origin: backend.origin('listen') },
-      control: this.controlOrigins(),
-      linkToken: LINK_TOKEN,
+      control: this.control.origins,
     });
+    await node.start();
     await this.command(backend, BACKEND_COMMANDS.outbound, { origin: node.origin('outbound') });
-    return new FleetTarget(placement, backend, node);
+    return { placement, backend, node };
   }
 
   private async startEdges(): Promise<void> {
-    const { zones } = this.options.deployment;
-    for (let index = 0; index < this.options.edges; index += 1) {
-      const id = `edge-${index + 1}`;
-      const settings = {
-        id,
-        zone: zones[index % zones.length],
-        admin: ANY_PORT,
+    const { deployment, edges, workDir } = this.options;
+    for (let index = 0; index < edges; index += 1) {
+      const edge = new ProgramProcess(`edge-${index + 1}`, 'edge', workDir, {
+        zone: inTurn(deployment.zones, index),
         listen: ANY_PORT,
-        control: this.controlOrigins(),
-        linkToken: LINK_TOKEN,
-      };
-      this.edges.push(await this.startProduct('edge', id, settings));
+        control: this.control.origins,
+      });
+      this.edges.push(edge);
+      await edge.start();
     }
   }
 
-  private async startProduct(program: string, id: string, settings: object): Promise<FleetChild> {
-    const { workDir } = this.options;
-    const file = join(workDir, `${id}.yaml`);
-    writeFileSync(file, stringify(settings));
-    return FleetChild.start(
-      id,
-      PRODUCT_SCRIPT,
-      [program, '--config', file],
-      join(workDir, `${id}.log`),
-    );
-  }
-
-  /** Waits until every edge and node is ready and knows every service's targets. */
+  /** Waits until every edge and node says that it is ready. */
   private async waitUntilReady(): Promise<void> {
-    const children = [...this.edges, ...this.targets.map((target) => target.node)];
+    const programs = [...this.edges, ...this.targets.map((target) => target.node)];
     const giveUpAt = Date.now() + READY_TIMEOUT_MS;
-    for (const child of children) {
-      while (!(await isReady(child.origin('admin')))) {
-        if (Date.now() > giveUpAt) throw new Error(`${child.name} did not become ready`);
+    for (const program of programs) {
+      while (!(await isReady(program.origin('admin')))) {
+        if (Date.now() > giveUpAt) throw new Error(`${program.id} did not become ready`);
         await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
       }
     }
@@ -309,3 +227,7 @@
   await response.body.dump();
   return response.statusCode === 200;
 }
+
+function inTurn(zones: readonly string[], index: number): string {
+  return zones[index % zones.length]!;
+}
--- a/lab/soak/soak-faults.ts
+++ b/lab/soak/soak-faults.ts
@@ -1,6 +1,7 @@
 /** Injects the faults of a plan from outside: signals, the proxies of links, and what targets do wrong. */
+import type { ProgramProcess } from '../fleet/program-process.js';
 import type { DeadlyClient } from './deadly-client.js';
-import type { SoakFleet, SoakMachine, SoakProcess, SoakReplica } from './soak-fleet.js';
+import type { SoakFleet, SoakMachine, SoakReplica } from './soak-fleet.js';
 import { GRACE_MS } from './soak-fleet.js';
 import { FaultKind, isOnControl, type PlannedFault } from './soak-plan.js';
 import type { SoakRecord } from './soak-record.js';
@@ -135,8 +136,8 @@
     await machine.process.start();
   }
 
-  private async stop(process: SoakProcess): Promise<void> {
-    const exitCode = await process.stop();
+  private async stop(process: ProgramProcess): Promise<void> {
+    const exitCode = await process.stop(GRACE_MS);
     this.world.record.onStopped(process.id, exitCode !== null);
   }
 }
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -1,69 +1,26 @@
 /** The processes of a soak: control replicas and sidecars on loopback, restarted at the same addresses. */
-import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { fileURLToPath } from 'node:url';
-import { stringify } from 'yaml';
 import { UsageError } from '../../src/common/errors.js';
-import { FleetChild } from '../fleet/child-process.js';
+import { freePorts } from '../fleet/free-ports.js';
+import { ProgramProcess } from '../fleet/program-process.js';
 import { LoopbackProxy } from './loopback-proxy.js';
-import { reservePorts } from './reserve-ports.js';
 import type { SoakPlan, SoakService } from './soak-plan.js';
 
-const PRODUCT_SCRIPT = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
-const LINK_TOKEN = 'soak-link-token-0123456789';
 const HEARTBEAT_MS = 500;
 const MEMBER_LEASE_MS = 3_500;
 const ELECTION_TIMEOUT_MS = 600;
 /** Time from SIGTERM until a process is killed, in milliseconds. */
 export const GRACE_MS = 6_000;
-const PORTS_PER_MACHINE = 4;
+const PORTS_PER_MACHINE = 3;
 
 /** The bound on repeats that the sidecars are given. */
 export const RETRY_BOUND = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 
-/** One process that is restarted with the same settings. */
-export class SoakProcess {
-  private child: FleetChild | undefined;
-
-  constructor(
-    private readonly workDir: string,
-    readonly id: string,
-    private readonly program: 'sidecar' | 'control',
-    private readonly settings: object,
-  ) {}
-
-  /** @throws when the process ends, or says nothing, at its start */
-  async start(): Promise<void> {
-    const file = join(this.workDir, `${this.id}.yaml`);
-    writeFileSync(file, stringify(this.settings));
-    const args = [this.program, '--config', file];
-    this.child = await FleetChild.start(
-      this.id,
-      PRODUCT_SCRIPT,
-      args,
-      join(this.workDir, `${this.id}.log`),
-    );
-  }
-
-  signal(signal: NodeJS.Signals): void {
-    this.child?.signal(signal);
-  }
-
-  /** Ends it as planned. @returns the exit code; null where it had to be killed */
-  async stop(): Promise<number | null> {
-    return (await this.child?.stop(GRACE_MS)) ?? null;
-  }
-
-  async kill(): Promise<void> {
-    await this.child?.kill();
-  }
-}
-
 /** A machine: a sidecar, and what stands between it and the other sidecars. */
 export interface SoakMachine {
   readonly index: number;
   readonly service: SoakService;
-  readonly process: SoakProcess;
+  readonly process: ProgramProcess;
   readonly proxy: LoopbackProxy;
   readonly outbound: string;
   readonly registration: string;
@@ -71,7 +28,7 @@
 
 /** A control replica. */
 export interface SoakReplica {
-  readonly process: SoakProcess;
+  readonly process: ProgramProcess;
   readonly origin: string;
 }
 
@@ -104,12 +61,11 @@
   }
 
   private async startReplicas(count: number): Promise<void> {
-    const ports = await reservePorts(count);
+    const ports = await freePorts(count);
     const seeds = ports.map((port) => `http://127.0.0.1:${port}`);
     for (const [index, port] of ports.entries()) {
       const id = `control-${index}`;
-      const process = new SoakProcess(this.workDir, id, 'control', {
-        ...common(id),
+      const process = new ProgramProcess(id, 'control', this.workDir, {
         listen: { host: '127.0.0.1', port },
         advertise: seeds[index],
         seeds,
@@ -138,11 +94,10 @@
 
   private async addMachine(service: SoakService, control: readonly string[]): Promise<void> {
     const index = this.machines.length;
-    const [inbound, outbound, registration] = await reservePorts(PORTS_PER_MACHINE);
+    const [inbound, outbound, registration] = await freePorts(PORTS_PER_MACHINE);
     const proxy = await LoopbackProxy.start(inbound!);
     const id = `sidecar-${index}`;
-    const process = new SoakProcess(this.workDir, id, 'sidecar', {
-      ...common(id),
+    const process = new ProgramProcess(id, 'sidecar', this.workDir, {
       service: service.name,
       inbound: { host: '127.0.0.1', port: inbound },
       advertise: proxy.origin,
@@ -163,12 +118,3 @@
     });
   }
 }
-
-function common(id: string): object {
-  return {
-    id,
-    zone: 'zone-a',
-    admin: { host: '127.0.0.1', port: 0 },
-    linkToken: LINK_TOKEN,
-  };
-}
