--- a/lab/check/run-check.ts
+++ b/lab/check/run-check.ts
@@ -13,7 +13,7 @@
 import { shrinkScenario } from './shrink.js';
 
 /** Checked on the control plane's own simulator. */
-export const CONFIGURATION_PROMISE = 'config-forward';
+const CONFIGURATION_PROMISE = 'config-forward';
 /** Everything that can be checked. */
 export const CHECKED_PROMISES: readonly string[] = [...PROMISE_IDS, CONFIGURATION_PROMISE];
 
--- a/lab/experiment/result.ts
+++ b/lab/experiment/result.ts
@@ -61,7 +61,7 @@
 }
 
 /** Whole requests a second completed in a time span. */
-export function goodput(requests: readonly RequestRecord[], fromMs: number, toMs: number): number {
+function goodput(requests: readonly RequestRecord[], fromMs: number, toMs: number): number {
   if (toMs <= fromMs) return 0;
   const completed = requests.filter(
     (request) =>
--- a/lab/model/backend-model.ts
+++ b/lab/model/backend-model.ts
@@ -129,11 +129,6 @@
     private readonly onExecution: (record: ExecutionRecord) => void = () => undefined,
   ) {}
 
-  /** Calls inside the back end, waiting ones included. */
-  get load(): number {
-    return this.busy + this.waiting.length;
-  }
-
   /** Makes all work take `factor` times as long. */
   setSlowFactor(factor: number): void {
     this.slowFactor = factor;
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -95,7 +95,6 @@
   private readonly timers: Timer[] = [];
   private sequence = 0;
   private stopped = false;
-  private underWay = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -104,7 +103,6 @@
     private readonly demands: readonly DemandModel[],
     private readonly rateFactor: RateFactor,
     private readonly send: AttemptSender,
-    private readonly prefix: string = 'r',
   ) {}
 
   /** Begins to send. */
@@ -119,11 +117,6 @@
     for (const timer of this.timers) timer.cancel();
   }
 
-  /** Requests whose end is not known yet. */
-  get pending(): number {
-    return this.underWay;
-  }
-
   /**
    * @param since when the last request was due: counted from there, late timers don't lower the rate
    */
@@ -143,7 +136,7 @@
 
   private startRequest(demand: DemandModel): void {
     this.sequence += 1;
-    const labId = `${this.prefix}${this.sequence}`;
+    const labId = `r${this.sequence}`;
     const record: RequestRecord = {
       labId,
       group: demand.group,
@@ -157,7 +150,6 @@
       wrongAnswer: undefined,
     };
     this.records.push(record);
-    this.underWay += 1;
     this.attempt(demand, record);
   }
 
@@ -216,6 +208,5 @@
     if (record.result !== undefined) return;
     record.result = result;
     record.endedAt = this.clock.now();
-    this.underWay -= 1;
   }
 }
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -59,7 +59,6 @@
       clock: this.clock,
       random: this.random,
       zoneLatencyMs: ZONE_LATENCY_MS,
-      clientLatencyMs: ZONE_LATENCY_MS,
     });
     this.nodes = Array.from({ length: run.nodes }, (_, index) => {
       const zone = ZONES[index % ZONES.length]!;
--- a/lab/simulator/direct-path.ts
+++ b/lab/simulator/direct-path.ts
@@ -118,14 +118,14 @@
   }
 
   private travelTo(from: SimMachine | undefined, target: SimTarget, arrive: () => void): void {
-    const { network, clock } = this.world;
+    const { network } = this.world;
     if (from !== undefined) network.send(from, target.machine, arrive);
-    else clock.schedule(network.clientLatencyMs(), () => target.machine.run(arrive));
+    else this.world.clock.schedule(this.world.clientLatencyMs(), () => target.machine.run(arrive));
   }
 
   private travel(target: SimTarget, to: SimMachine | undefined, arrive: () => void): void {
-    const { network, clock } = this.world;
+    const { network } = this.world;
     if (to !== undefined) network.send(target.machine, to, arrive);
-    else clock.schedule(network.clientLatencyMs(), arrive);
+    else this.world.clock.schedule(this.world.clientLatencyMs(), arrive);
   }
 }
--- a/lab/simulator/local-claims.ts
+++ b/lab/simulator/local-claims.ts
@@ -1,17 +1,13 @@
 /**
- * Claims kept in the memory of one node, for services with a single node and for tests. A resend
- * that reaches another node, or this one after a restart, is not recognised.
+ * Keys remembered by one node alone, as `claims=local` has it: a resend that reaches another node, or this one
+ * after a restart, is not recognised. Owns the memory; the product remembers keys in a quorum of nodes instead.
  */
 import type { Clock } from '../../src/common/clock.js';
 import type { ClaimDecision, ClaimHandle, KeyClaims } from '../../src/dedup/claim.js';
-
-/** How long a key is remembered, in milliseconds. */
-export const CLAIM_LIFETIME_MS = 10 * 60_000;
-
-type ClaimPhase = 'claimed' | 'forwarded' | 'answered';
+import { CLAIM_LIFETIME_MS } from '../../src/dedup/claim-replica.js';
 
 interface ClaimRecord {
-  phase: ClaimPhase;
+  isAnswered: boolean;
   readonly expiresAt: number;
 }
 
@@ -24,27 +20,24 @@
     this.forgetExpired();
     const existing = this.records.get(key);
     if (existing !== undefined) {
-      decide(heldDecision(existing.phase));
+      decide(heldDecision(existing));
       return { onForwarded: noop, onAnswered: noop, release: noop };
     }
     const record: ClaimRecord = {
-      phase: 'claimed',
+      isAnswered: false,
       expiresAt: this.clock.now() + CLAIM_LIFETIME_MS,
     };
     this.records.set(key, record);
-    const handle: ClaimHandle = {
-      onForwarded: () => {
-        record.phase = 'forwarded';
-      },
+    decide({ type: 'granted' });
+    return {
+      onForwarded: noop,
       onAnswered: () => {
-        record.phase = 'answered';
+        record.isAnswered = true;
       },
       release: () => {
         if (this.records.get(key) === record) this.records.delete(key);
       },
     };
-    decide({ type: 'granted' });
-    return handle;
   }
 
   /** Records are in order of expiry, so the oldest are at the front. */
@@ -58,12 +51,12 @@
 }
 
 function noop(): void {
-  // A call that was not granted the key has nothing to report.
+  // Nothing is kept of this.
 }
 
 /** What a later call with the same key is told. */
-export function heldDecision(phase: ClaimPhase): ClaimDecision {
-  if (phase === 'answered') {
+function heldDecision({ isAnswered }: ClaimRecord): ClaimDecision {
+  if (isAnswered) {
     return { type: 'held', verdict: 'ran', detail: 'A request with this key was answered.' };
   }
   return {
--- a/lab/simulator/mechanisms.ts
+++ b/lab/simulator/mechanisms.ts
@@ -13,7 +13,7 @@
   /** Whether retries are bounded over the chain; otherwise every hop may retry twice. */
   retryBound: z.boolean().default(true),
   /** Who remembers the keys of calls that may run at most once. */
-  claims: z.enum(['quorum', 'local', 'none']).default('quorum'),
+  claims: z.enum(['quorum', 'local']).default('quorum'),
   /** Whether leaving nodes refuse and are passed over. */
   leaving: z.boolean().default(true),
   /** Whether a failed attempt knows if its request was written; otherwise it says it was not. */
--- a/lab/simulator/replication/replication-network.ts
+++ b/lab/simulator/replication/replication-network.ts
@@ -7,15 +7,12 @@
 import type { SimReplica } from './sim-replica.js';
 
 const ZONE_LATENCY_MS = 4;
-const CLIENT_LATENCY_MS = 8;
 const REORDER_SPREAD_MS = 40;
 
-/** How unreliable the network is: chances of each message. */
-export interface MessageFaults {
-  readonly dropped: number;
-  readonly repeated: number;
-  readonly delayed: number;
-}
+/** Chances of each message between replicas. */
+const DROPPED = 0.02;
+const REPEATED = 0.03;
+const DELAYED = 0.1;
 
 export class ReplicationNetwork {
   readonly links: SimNetwork;
@@ -24,13 +21,11 @@
   constructor(
     readonly clock: VirtualClock,
     private readonly random: RandomSource,
-    private readonly faults: MessageFaults,
   ) {
     this.links = new SimNetwork({
       clock,
       random,
       zoneLatencyMs: ZONE_LATENCY_MS,
-      clientLatencyMs: CLIENT_LATENCY_MS,
     });
   }
 
@@ -45,14 +40,14 @@
 
   sendRaft(from: SimMachine, to: MessageTarget, bytes: Uint8Array): void {
     const receiver = this.replicas.get(to.origin);
-    if (receiver === undefined || this.chance(this.faults.dropped)) return;
+    if (receiver === undefined || this.chance(DROPPED)) return;
     const deliver = (): void => receiver.receiveRaft(to.identity, bytes);
     this.deliver(from, receiver.machine, deliver);
-    if (this.chance(this.faults.repeated)) this.deliver(from, receiver.machine, deliver);
+    if (this.chance(REPEATED)) this.deliver(from, receiver.machine, deliver);
   }
 
   private deliver(from: SimMachine, to: SimMachine, work: () => void): void {
-    const extraMs = this.chance(this.faults.delayed) ? this.random.next() * REORDER_SPREAD_MS : 0;
+    const extraMs = this.chance(DELAYED) ? this.random.next() * REORDER_SPREAD_MS : 0;
     this.clock.schedule(extraMs, () => this.links.send(from, to, work));
   }
 
--- a/lab/simulator/replication/replication-world.ts
+++ b/lab/simulator/replication/replication-world.ts
@@ -8,7 +8,7 @@
 import { ALL_RAFT_MECHANISMS, type RaftMechanisms } from './raft-mechanisms.js';
 import { ReplicationChecker } from './replication-checker.js';
 import { ReplicationFaults } from './replication-faults.js';
-import { ReplicationNetwork, type MessageFaults } from './replication-network.js';
+import { ReplicationNetwork } from './replication-network.js';
 import { SimFollower } from './sim-follower.js';
 import { SimReplica } from './sim-replica.js';
 import { SimWriter } from './sim-writer.js';
@@ -63,7 +63,6 @@
   { name: 'control-3', zone: 'b-1', role: 'voter' },
   { name: 'control-4', zone: 'b-2', role: 'learner' },
 ];
-const MESSAGE_FAULTS: MessageFaults = { dropped: 0.02, repeated: 0.03, delayed: 0.1 };
 const WRITERS = 3;
 const FOLLOWERS = 4;
 const HEAL_LIMIT_MS = 20_000;
@@ -81,7 +80,7 @@
 
   constructor(private readonly run: ReplicationRun) {
     this.random = new SeededRandom(run.seed);
-    this.network = new ReplicationNetwork(this.clock, this.random, MESSAGE_FAULTS);
+    this.network = new ReplicationNetwork(this.clock, this.random);
     this.replicas = PLACEMENTS.map((placement, index) => this.createReplica(placement, index));
     for (const replica of this.replicas) this.network.addReplica(replica);
     this.writers = Array.from({ length: WRITERS }, (_, index) => {
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -50,7 +50,7 @@
   readonly keepsIdentity: boolean;
 }
 
-export const ELECTION_TIMEOUT_MS = 300;
+const ELECTION_TIMEOUT_MS = 300;
 const SNAPSHOT_INTERVAL = 40;
 const POLL_MS = 10;
 const SYNC_HOLD_MS = 1_000;
--- a/lab/simulator/sim-network.ts
+++ b/lab/simulator/sim-network.ts
@@ -65,7 +65,6 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly zoneLatencyMs: number;
-  readonly clientLatencyMs: number;
 }
 
 /** Latency inside a zone, in milliseconds. */
@@ -98,17 +97,13 @@
     return fromBlocked || toBlocked;
   }
 
-  /** One-way latency between callers and edges. */
-  clientLatencyMs(): number {
-    return this.jitter(this.options.clientLatencyMs);
-  }
-
   private latencyMs(from: SimMachine, to: SimMachine): number {
     const base = from.zone === to.zone ? LOCAL_LATENCY_MS : this.options.zoneLatencyMs;
     return this.jitter(base) + from.extraLatencyMs + to.extraLatencyMs;
   }
 
-  private jitter(latencyMs: number): number {
+  /** A latency with its random part. */
+  jitter(latencyMs: number): number {
     return latencyMs * (1 + JITTER_FRACTION * this.options.random.next());
   }
 }
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -88,11 +88,6 @@
     return this.replica;
   }
 
-  /** Present limit of the node, for reports. */
-  get limit(): number {
-    return this.admission.status().limit;
-  }
-
   /** Starts the process again with nothing in memory. */
   restart(): void {
     this.machine.restart();
@@ -143,7 +138,6 @@
     const { service } = this.placement;
     const table = this.world.table;
     const needsClaim =
-      this.mechanisms.claims !== 'none' &&
       request.idempotencyKey !== undefined &&
       !table.isRepeatable(service.name, request.method, request.path);
     const claimKey = needsClaim
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -65,7 +65,6 @@
       clock: this.clock,
       random: this.random,
       zoneLatencyMs: deployment.zoneLatencyMs,
-      clientLatencyMs: deployment.clientLatencyMs,
     });
     this.table = new PolicyTable(1, options.resources);
     this.targets = placeTargets(deployment).map(
@@ -122,6 +121,11 @@
     directory.update(this.records);
   }
 
+  /** One-way latency between callers and the deployment, drawn anew each time. */
+  clientLatencyMs(): number {
+    return this.network.jitter(this.options.deployment.clientLatencyMs);
+  }
+
   /** The endpoint list has changed: every machine hears of it after the list's delay. */
   announceEndpoints(): void {
     this.clock.schedule(this.options.listDelayMs, () => this.publishEndpoints());
@@ -224,17 +228,17 @@
     const cancel = (): void => {
       over = true;
       timer.cancel();
-      this.clock.schedule(this.network.clientLatencyMs(), () => atEdge?.cancel());
+      this.clock.schedule(this.clientLatencyMs(), () => atEdge?.cancel());
     };
     const timer = this.clock.schedule(attempt.timeoutMs, () => {
       if (over) return;
       cancel();
       done({ status: 0, verdict: undefined, retryAfterSeconds: 0, check: undefined });
     });
-    this.clock.schedule(this.network.clientLatencyMs(), () => {
+    this.clock.schedule(this.clientLatencyMs(), () => {
       if (over) return;
       atEdge = edge.handle(attempt, group, (answer) => {
-        this.clock.schedule(this.network.clientLatencyMs(), () => finish(answer));
+        this.clock.schedule(this.clientLatencyMs(), () => finish(answer));
       });
     });
     return { cancel };
