--- a/bench/call-path.ts
+++ b/bench/call-path.ts
@@ -12,7 +12,8 @@
 import { ControlReplicas } from '../lab/fleet/control-replicas.js';
 import { ANY_PORT, ProgramProcess } from '../lab/fleet/program-process.js';
 import { processorMsOf, startBareProxies, startBenchTarget } from './comparison.js';
-import { LoadSource, quantile, type LoadResult } from './load.js';
+import { failOnErrors, LoadSource, quantile } from './load.js';
+import { runCommand } from './run-command.js';
 import { residentMegabytes } from './process-usage.js';
 
 const CALLS_PER_SECOND = 350;
@@ -115,11 +116,6 @@
   };
 }
 
-function failOnErrors(name: string, ...results: readonly LoadResult[]): void {
-  const failed = results.reduce((sum, result) => sum + result.failed, 0);
-  if (failed > 0) throw new Error(`${name}: ${failed} requests failed`);
-}
-
 function medianOf(rounds: readonly RoundResult[], pick: (round: RoundResult) => number): number {
   return median(rounds.map(pick));
 }
@@ -216,6 +212,4 @@
   .command('', 'Measure the call path')
   .option('--rounds <number>', 'Rounds', { default: 5 })
   .action((options: { rounds: number }) => run(Number(options.rounds)));
-cli.help();
-cli.parse(process.argv, { run: false });
-await cli.runMatchedCommand();
+await runCommand(cli);
--- a/bench/cold-calls.ts
+++ b/bench/cold-calls.ts
@@ -10,6 +10,7 @@
 import { median } from '../lab/experiment/summary.js';
 import { processorMsOf, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
 import { LoadSource } from './load.js';
+import { runCommand } from './run-command.js';
 import { SidecarFleet } from './sidecar-fleet.js';
 
 const CALLS_PER_SECOND = 80;
@@ -89,11 +90,4 @@
   .command('', `Measure the first calls of sidecars; a round takes about ${SECONDS_A_ROUND} s`)
   .option('--rounds <count>', 'Starts to measure; the median is told', { default: 1 })
   .action((options: { rounds: string | number }) => run(parseRounds(options.rounds)));
-cli.help();
-cli.parse(process.argv, { run: false });
-try {
-  await cli.runMatchedCommand();
-} catch (error) {
-  process.stderr.write(`bench: ${error instanceof Error ? error.message : String(error)}\n`);
-  process.exitCode = 2;
-}
+await runCommand(cli);
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -78,6 +78,12 @@
   return { latenciesMs: good, failed: results.length - good.length, durationMs };
 }
 
+/** @throws when any of the requests failed */
+export function failOnErrors(name: string, ...results: readonly LoadResult[]): void {
+  const failed = results.reduce((sum, result) => sum + result.failed, 0);
+  if (failed > 0) throw new Error(`${name}: ${failed} requests failed`);
+}
+
 /** The latency that a fraction of the requests stays under. */
 export function quantile(latenciesMs: readonly number[], fraction: number): number {
   return latenciesMs[Math.floor(fraction * (latenciesMs.length - 1))] ?? Number.NaN;
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -8,8 +8,9 @@
 import { cac } from 'cac';
 import { median } from '../lab/experiment/summary.js';
 import { processorMsOf, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
-import { LoadSource, quantile, type LoadResult } from './load.js';
+import { failOnErrors, LoadSource, quantile } from './load.js';
 import { processorMs, residentMegabytes } from './process-usage.js';
+import { runCommand } from './run-command.js';
 import { SidecarFleet } from './sidecar-fleet.js';
 
 const FIRST_CALLS = 100;
@@ -40,11 +41,6 @@
   return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
 
-function failOnErrors(name: string, result: LoadResult): LoadResult {
-  if (result.failed > 0) throw new Error(`${name}: ${result.failed} requests failed`);
-  return result;
-}
-
 async function measureFleet(workDir: string, target: string, size: number): Promise<FleetFigures> {
   const fleet = new SidecarFleet(workDir, new URL(target).host);
   try {
@@ -61,7 +57,8 @@
     await source.atOnce(1, FIRST_CALLS);
     failOnErrors('warm-up', await source.atOnce(CONCURRENCY, WARMUP_CALLS));
     const callsFrom = processorMsOf(pids);
-    const load = failOnErrors('sidecars', await source.atOnce(CONCURRENCY, MEASURED_CALLS));
+    const load = await source.atOnce(CONCURRENCY, MEASURED_CALLS);
+    failOnErrors('sidecars', load);
     const idleMs = (idleMsPerSecond * size * load.durationMs) / MILLISECONDS;
     const processorMsPerCall = (processorMsOf(pids) - callsFrom - idleMs) / MEASURED_CALLS;
     await source.close();
@@ -131,11 +128,4 @@
   .command('', 'Measure what sidecars cost')
   .option('--sizes <list>', 'Numbers of sidecars', { default: '2,8,24' })
   .action((options: { sizes: string | number }) => run(parseSizes(String(options.sizes))));
-cli.help();
-cli.parse(process.argv, { run: false });
-try {
-  await cli.runMatchedCommand();
-} catch (error) {
-  process.stderr.write(`bench: ${error instanceof Error ? error.message : String(error)}\n`);
-  process.exitCode = 2;
-}
+await runCommand(cli);
--- a/lab/experiment/scenario.ts
+++ b/lab/experiment/scenario.ts
@@ -6,6 +6,7 @@
 import { parseOrThrow } from '../../src/common/validate.js';
 import { nameSchema } from '../../src/policy/resource-schema.js';
 import { readYamlFile } from '../../src/settings/load-settings.js';
+import { HARD_RETRIES } from '../model/caller-model.js';
 import { mechanismsSchema } from '../simulator/mechanisms.js';
 
 const MAX_DURATION_MS = 3_600_000;
@@ -24,11 +25,11 @@
 });
 
 const callersSchema = z.strictObject({
-  patienceMs: duration.default(2_000),
-  maxAttempts: z.number().int().min(1).max(100).default(4),
-  retryPauseMs: duration.default(100),
-  honourRetryAfter: z.number().min(0).max(1).default(0.3),
-  hangUp: z.number().min(0).max(1).default(0.002),
+  patienceMs: duration.default(HARD_RETRIES.patienceMs),
+  maxAttempts: z.number().int().min(1).max(100).default(HARD_RETRIES.maxAttempts),
+  retryPauseMs: duration.default(HARD_RETRIES.retryPauseMs),
+  honourRetryAfter: z.number().min(0).max(1).default(HARD_RETRIES.honourRetryAfter),
+  hangUp: z.number().min(0).max(1).default(HARD_RETRIES.hangUp),
 });
 
 const slowServiceSchema = z.strictObject({
--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -7,7 +7,7 @@
 import { evaluateRun, type ExperimentReport } from '../experiment/run-experiment.js';
 import { rateFactorAt } from '../experiment/run-simulation.js';
 import type { Fault, Scenario } from '../experiment/scenario.js';
-import { CallerModel } from '../model/caller-model.js';
+import { CallerModel, type RequestRecord } from '../model/caller-model.js';
 import type { LoadedDeployment } from '../model/load-deployment.js';
 import { createHttpSender } from '../process/http-attempt-sender.js';
 import { Fleet } from './fleet.js';
@@ -16,22 +16,36 @@
 /** Links between processes are plain loopback here: nothing delays or cuts them. */
 const SIMULATED_ONLY: readonly Fault['type'][] = ['cut', 'slow-link'];
 
+/** Hears how a run goes on. */
+export interface FleetRunListener {
+  /** All processes are ready; their settings and logs are in `workDir`. */
+  onReady(fleet: Fleet, workDir: string): void;
+  /** A second has passed. @param now milliseconds of the run */
+  onSecond(requests: readonly RequestRecord[], now: number): void;
+}
+
+const SECOND_MS = 1_000;
+
 /** @throws ValidationError when the scenario needs what only the simulator has */
 export async function runFleetExperiment(
   scenario: Scenario,
   loaded: LoadedDeployment,
   seed: number,
+  listener?: FleetRunListener,
 ): Promise<ExperimentReport> {
   checkFaults(scenario);
+  const workDir = mkdtempSync(join(tmpdir(), 'shoredoor-fleet-'));
   const fleet = await Fleet.start({
     deployment: loaded.deployment,
     deploymentFile: loaded.file,
     declarations: loaded.declarations,
-    workDir: mkdtempSync(join(tmpdir(), 'shoredoor-fleet-')),
+    workDir,
     edges: scenario.edges,
     seed,
   });
+  let seconds: NodeJS.Timeout | undefined;
   try {
+    listener?.onReady(fleet, workDir);
     const clock = new RunClock();
     const callers = new CallerModel(
       clock,
@@ -43,6 +57,7 @@
     );
     for (const fault of scenario.faults) scheduleFault(fleet, clock, fault);
     callers.start();
+    seconds = setInterval(() => listener?.onSecond(callers.records, clock.now()), SECOND_MS);
     await wait(clock, scenario.durationMs);
     callers.stop();
     await wait(clock, scenario.callers.patienceMs);
@@ -50,6 +65,7 @@
     const records = { requests: callers.records, executions };
     return evaluateRun(scenario, loaded, seed, 'fleet', records);
   } finally {
+    clearInterval(seconds);
     await fleet.kill();
   }
 }
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -23,7 +23,7 @@
   readonly hangUp: number;
 }
 
-/** Callers that retry hard: at once, and without regard to what they are told. */
+/** Callers that retry hard, most of them without regard to what they are told. Scenarios have these by default. */
 export const HARD_RETRIES: CallerBehaviour = {
   patienceMs: 2_000,
   maxAttempts: 4,
--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -1,16 +1,11 @@
 /** One node of a {@link ClaimWorld}: the product's claim modules over the simulated network. */
 import type { ClaimDecision } from '../../../src/dedup/claim.js';
 import type { ClaimCandidate } from '../../../src/control/claim-view-planner.js';
-import type {
-  ClaimMessage,
-  ClaimReply,
-  ClaimTransport,
-} from '../../../src/dedup/claim-messages.js';
 import { ClaimReplica } from '../../../src/dedup/claim-replica.js';
 import type { ClaimView } from '../../../src/dedup/claim-view.js';
 import { QuorumClaims } from '../../../src/dedup/quorum-claims.js';
 import { MachineClock } from '../machine-clock.js';
-import { exchange } from '../sim-exchange.js';
+import { SimClaimTransport, type ClaimKeeper } from '../sim-claim-transport.js';
 import { SimMachine } from '../sim-network.js';
 import type { ClaimWorld } from './claim-world.js';
 
@@ -20,9 +15,9 @@
 const DEADLINE_MS = 1_000;
 const UNWRITTEN_CHANCE = 0.1;
 
-export class ClaimNode implements ClaimTransport {
+export class ClaimNode implements ClaimKeeper {
   readonly machine: SimMachine;
-  replica!: ClaimReplica;
+  claimReplica!: ClaimReplica;
   private claims!: QuorumClaims;
   private stopping = false;
 
@@ -43,7 +38,7 @@
 
   candidate(): ClaimCandidate {
     const { zone, incarnation } = this.machine;
-    const { settledEpoch } = this.replica;
+    const { settledEpoch } = this.claimReplica;
     return { id: this.id, zone, incarnation, settledEpoch, isLeaving: false };
   }
 
@@ -54,14 +49,14 @@
   /** A planned stop: hands over, then ends. */
   stop(): void {
     this.stopping = true;
-    this.replica.handOver(() => this.machine.kill());
+    this.claimReplica.handOver(() => this.machine.kill());
   }
 
   restart(view: ClaimView | undefined): void {
     this.machine.restart();
     this.stopping = false;
     this.start();
-    if (view !== undefined) this.replica.setView(view);
+    if (view !== undefined) this.claimReplica.setView(view);
   }
 
   /** A call with a key has arrived. Hears `granted` at the moment when it runs. */
@@ -85,26 +80,13 @@
     });
   }
 
-  request(
-    memberId: string,
-    message: ClaimMessage,
-    onReply: (reply: ClaimReply | undefined) => void,
-  ): void {
-    const { network, clock } = this.world;
-    const target = this.world.node(memberId);
-    exchange<ClaimReply>(
-      { network, clock, from: this.machine, to: target.machine, timeoutMs: TIMEOUT_MS },
-      (answer) => answer(target.replica.handle(message)),
-      onReply,
-    );
-  }
-
   private start(): void {
     const clock = new MachineClock(this.world.clock, this.machine);
     const { incarnation } = this.machine;
-    const parts = { clock, selfId: this.id, incarnation, transport: this };
+    const transport = new SimClaimTransport(this.world, this.machine, TIMEOUT_MS);
+    const parts = { clock, selfId: this.id, incarnation, transport };
     const { assumeWhole } = this;
-    this.replica = new ClaimReplica({ ...parts, silentForMs: () => 0, assumeWhole });
-    this.claims = new QuorumClaims({ ...parts, replica: this.replica });
+    this.claimReplica = new ClaimReplica({ ...parts, silentForMs: () => 0, assumeWhole });
+    this.claims = new QuorumClaims({ ...parts, replica: this.claimReplica });
   }
 }
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -66,7 +66,7 @@
     });
   }
 
-  node(id: string): ClaimNode {
+  claimKeeper(id: string): ClaimNode {
     return this.nodes.find((node) => node.id === id)!;
   }
 
@@ -146,7 +146,7 @@
       const delayMs = now === 0 ? 0 : this.random.next() * VIEW_DELAY_MS;
       this.clock.schedule(delayMs, () => {
         // A node that is cut off does not hear of it: the next one that it hears of is later.
-        if (node.machine.cut === undefined) node.machine.run(() => node.replica.setView(next));
+        if (node.machine.cut === undefined) node.machine.run(() => node.claimReplica.setView(next));
       });
     }
   }
--- a/lab/simulator/sim-claim-transport.ts
+++ b/lab/simulator/sim-claim-transport.ts
@@ -1,15 +1,29 @@
-/** Carries messages about claims over the simulated network. */
+/** Carries messages about claims over a simulated network. Relies on its world to know who keeps claims. */
+import type { Clock } from '../../src/common/clock.js';
 import type { ClaimMessage, ClaimReply, ClaimTransport } from '../../src/dedup/claim-messages.js';
+import type { ClaimReplica } from '../../src/dedup/claim-replica.js';
 import { exchange } from './sim-exchange.js';
-import type { SimMachine } from './sim-network.js';
-import type { SimWorld } from './sim-world.js';
+import type { SimMachine, SimNetwork } from './sim-network.js';
 
-const TIMEOUT_MS = 1_000;
+/** A node that keeps claims. */
+export interface ClaimKeeper {
+  readonly machine: SimMachine;
+  readonly claimReplica: ClaimReplica;
+}
+
+/** What carries the messages, and between whom. */
+export interface ClaimNetwork {
+  readonly clock: Clock;
+  readonly network: SimNetwork;
+  claimKeeper(id: string): ClaimKeeper;
+}
 
 export class SimClaimTransport implements ClaimTransport {
+  /** @param timeoutMs time after which a message counts as not answered */
   constructor(
-    private readonly world: SimWorld,
+    private readonly world: ClaimNetwork,
     private readonly from: SimMachine,
+    private readonly timeoutMs: number,
   ) {}
 
   request(
@@ -18,10 +32,11 @@
     onReply: (reply: ClaimReply | undefined) => void,
   ): void {
     const { network, clock } = this.world;
-    const target = this.world.target(memberId);
+    const { from, timeoutMs } = this;
+    const keeper = this.world.claimKeeper(memberId);
     exchange<ClaimReply>(
-      { network, clock, from: this.from, to: target.machine, timeoutMs: TIMEOUT_MS },
-      (answer) => answer(target.claimReplica.handle(message)),
+      { network, clock, from, to: keeper.machine, timeoutMs },
+      (answer) => answer(keeper.claimReplica.handle(message)),
       onReply,
     );
   }
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -39,6 +39,8 @@
 const LEAVING_LINGER_MS = 3_000;
 const MAX_DRAIN_MS = 10_000;
 const DRAIN_CHECK_MS = 50;
+/** Of a message about claims. */
+const CLAIM_TIMEOUT_MS = 1_000;
 const UNLIMITED = 1_000_000;
 const STATUS_OK = 200;
 
@@ -272,7 +274,7 @@
     const { clock, machine, world } = this;
     const selfId = machine.id;
     const { incarnation } = machine;
-    const transport = new SimClaimTransport(world, machine);
+    const transport = new SimClaimTransport(world, machine, CLAIM_TIMEOUT_MS);
     this.replica = new ClaimReplica({
       clock,
       selfId,
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -83,6 +83,10 @@
     return this.targetsById.get(nodeId)!;
   }
 
+  claimKeeper(nodeId: string): SimTarget {
+    return this.target(nodeId);
+  }
+
   /** The targets of a service. */
   targetsOf(service: string): SimTarget[] {
     return this.targets.filter((target) => target.placement.service.name === service);
--- a/lab/soak/crash-plan.ts
+++ b/lab/soak/crash-plan.ts
@@ -2,14 +2,18 @@
  * Runs in which targets crash: by themselves, and under requests that come again and again; beside kills and restarts of
  * sidecars and control replicas. Drawn from a seed. Pure.
  */
-import { SeededRandom, type RandomSource } from '../../src/common/random.js';
-import { drawTimes, FaultKind, type PlannedFault, type SoakPlan } from './soak-plan.js';
+import type { RandomSource } from '../../src/common/random.js';
+import {
+  drawTimes,
+  FaultKind,
+  randomOfPlan,
+  REPLICAS,
+  type PlannedFault,
+  type SoakPlan,
+} from './soak-plan.js';
 
-/** Spreads seeds that follow each other (the golden ratio, in 32 bits). */
-const SEED_FACTOR = 0x9e3779b1;
 const FRONT_MACHINES = 4;
 const BACK_MACHINES = 3;
-const REPLICAS = 3;
 const SLOTS = 48;
 const FIRST_FAULT_MS = 1_000;
 const FAULT_GAP_MS = 2_500;
@@ -27,7 +31,7 @@
 
 /** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
 export function drawCrashPlan(seed: number, durationMs: number): SoakPlan {
-  const random = new SeededRandom(Math.imul(seed, SEED_FACTOR) >>> 0);
+  const random = randomOfPlan(seed);
   const untilMs = durationMs - CALM_MS;
   return {
     seed,
--- a/lab/soak/soak-plan.ts
+++ b/lab/soak/soak-plan.ts
@@ -89,7 +89,8 @@
 const EXTRA_SERVICES = 2;
 const MIN_MACHINES = 2;
 const EXTRA_MACHINES = 2;
-const REPLICAS = 3;
+/** Control replicas of every run. */
+export const REPLICAS = 3;
 /** A mean of one fault in this time, so that some overlap, in milliseconds. */
 const FAULT_GAP_MS = 2_500;
 const FIRST_FAULT_MS = 2_000;
@@ -105,6 +106,14 @@
 const TIMEOUT_MS = 2_000;
 const NESTED_DEADLINE_MS = 1_500;
 
+/** Spreads seeds that follow each other: their first draws are alike otherwise (the golden ratio, in 32 bits). */
+const SEED_FACTOR = 0x9e3779b1;
+
+/** The random source of a plan, unlike those of the seeds before and after. */
+export function randomOfPlan(seed: number): RandomSource {
+  return new SeededRandom(Math.imul(seed, SEED_FACTOR) >>> 0);
+}
+
 /** Draws a run of all kinds of faults. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
 export function drawPlan(seed: number, durationMs: number): SoakPlan {
   const random = new SeededRandom(seed);
--- a/lab/soak/stop-plan.ts
+++ b/lab/soak/stop-plan.ts
@@ -2,13 +2,17 @@
  * Runs in which planned stops of sidecars are the only fault, in series and overlapping, while targets make many calls
  * one after the other. Drawn from a seed. Pure.
  */
-import { SeededRandom, type RandomSource } from '../../src/common/random.js';
-import { drawTimes, FaultKind, type PlannedFault, type SoakPlan } from './soak-plan.js';
+import type { RandomSource } from '../../src/common/random.js';
+import {
+  drawTimes,
+  FaultKind,
+  randomOfPlan,
+  REPLICAS,
+  type PlannedFault,
+  type SoakPlan,
+} from './soak-plan.js';
 
-/** Spreads seeds that follow each other: their first draws are alike otherwise (the golden ratio, in 32 bits). */
-const SEED_FACTOR = 0x9e3779b1;
 const FRONT_MACHINES = 3;
-const REPLICAS = 3;
 const SLOTS = 64;
 const FIRST_STOP_MS = 1_000;
 const LEAST_RESTART_MS = 200;
@@ -27,7 +31,7 @@
 
 /** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
 export function drawStopPlan(seed: number, durationMs: number): SoakPlan {
-  const random = new SeededRandom(Math.imul(seed, SEED_FACTOR) >>> 0);
+  const random = randomOfPlan(seed);
   const load = random.next() < 0.5 ? longRuns(random) : shortRuns(random);
   const { perSecond, callsPerRun, callMs, stopGapMs } = load;
   const backMachines = 2 + random.below(2);
