--- a/lab/experiment/capacity-bound.ts
+++ b/lab/experiment/capacity-bound.ts
@@ -9,16 +9,8 @@
 /** Work that one request needs, in milliseconds of slot time by service. */
 type SlotTime = ReadonlyMap<string, number>;
 
-/** One demand's part of the bound. */
-export interface BoundEntry {
-  readonly kind: string;
-  readonly group: string;
-  /** Requests a second that could be finished. */
-  readonly rate: number;
-}
-
 /** Factor by which a service's own work is slowed; 1 in ordinary times. */
-export type SlownessOf = (service: string) => number;
+type SlownessOf = (service: string) => number;
 
 /** A demand as the bound fills it in. */
 interface OpenDemand {
@@ -97,7 +89,7 @@
 }
 
 /**
- * The bound for a moment.
+ * The bound for a moment, in requests a second.
  * @param rateOf requests a second offered by a demand
  */
 export function capacityBound(
@@ -105,7 +97,7 @@
   table: PolicyTable,
   rateOf: (demand: DemandModel) => number,
   slowness: SlownessOf,
-): BoundEntry[] {
+): number {
   const open = deployment.demand.map((demand): OpenDemand => {
     const kind = table.kind(demand.kind)!;
     const slotTime = new Map<string, number>();
@@ -129,9 +121,5 @@
     for (const [service, unused] of slice) left.set(service, left.get(service)! + unused);
   }
   fill(open, left);
-  return open.map(({ demand, placed }) => ({
-    kind: demand.kind,
-    group: demand.group,
-    rate: placed,
-  }));
+  return open.reduce((sum, { placed }) => sum + placed, 0);
 }
--- a/lab/experiment/run-experiment.ts
+++ b/lab/experiment/run-experiment.ts
@@ -62,11 +62,10 @@
           : factor,
       1,
     );
-  const entries = capacityBound(
+  return capacityBound(
     loaded.deployment,
     table,
     (demand) => demand.rate * rateFactorAt(scenario, demand, atMs),
     slowness,
   );
-  return entries.reduce((sum, entry) => sum + entry.rate, 0);
 }
--- a/lab/model/backend-model.ts
+++ b/lab/model/backend-model.ts
@@ -5,6 +5,7 @@
 import type { Clock, Timer } from '../../src/common/clock.js';
 import { exponential, type RandomSource } from '../../src/common/random.js';
 import type { HandlerModel, NestedCallModel, ServiceModel } from './deployment.js';
+import type { Cancellable } from './cancellable.js';
 
 /** A request that reached a back end. */
 export interface BackendRequest {
@@ -21,12 +22,7 @@
   call: NestedCallModel,
   labId: string,
   done: (status: number) => void,
-) => NestedCallHandle;
-
-/** A nested call under way. */
-export interface NestedCallHandle {
-  cancel(): void;
-}
+) => Cancellable;
 
 /** Hears the answer of the back end, once. */
 export type BackendListener = (status: number, responseBytes: number) => void;
@@ -58,7 +54,7 @@
 /** One request inside the back end. */
 export class BackendCall {
   private timer: Timer | undefined;
-  private nested: NestedCallHandle | undefined;
+  private nested: Cancellable | undefined;
   private finished = false;
   holdsSlot = false;
   /** Start of the back end's process that this call belongs to. */
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -8,6 +8,7 @@
 import { isVerdict, type Verdict } from '../../src/common/verdict.js';
 import type { AnswerCheck } from './answer-body.js';
 import { apiKeyOf, type DemandModel } from './deployment.js';
+import type { Cancellable } from './cancellable.js';
 
 /** How callers behave. */
 export interface CallerBehaviour {
@@ -55,7 +56,7 @@
 export type AttemptSender = (
   attempt: CallerAttempt,
   done: (answer: AttemptAnswer) => void,
-) => { cancel(): void };
+) => Cancellable;
 
 /** How a request ended for its caller. */
 export type RequestResult = 'completed' | 'refused' | 'failed' | 'hung-up';
--- a/lab/process/backend-process.ts
+++ b/lab/process/backend-process.ts
@@ -6,12 +6,9 @@
 import { SystemClock } from '../../src/common/clock.js';
 import { SeededRandom } from '../../src/common/random.js';
 import { answerBody } from '../model/answer-body.js';
-import {
-  BackendModel,
-  type ExecutionRecord,
-  type NestedCallHandle,
-} from '../model/backend-model.js';
+import { BackendModel, type ExecutionRecord } from '../model/backend-model.js';
 import type { NestedCallModel, ServiceModel } from '../model/deployment.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 /** Names the logical request in every attempt and nested call. */
 export const LAB_ID_HEADER = 'lab-id';
@@ -50,7 +47,7 @@
     call: NestedCallModel,
     labId: string,
     done: (status: number) => void,
-  ): NestedCallHandle => {
+  ): Cancellable => {
     const abort = new AbortController();
     const root = labId.slice(0, labId.lastIndexOf('/'));
     const trace = service.passesContext ? traceOf.get(root) : undefined;
--- a/lab/simulator/direct-path.ts
+++ b/lab/simulator/direct-path.ts
@@ -4,11 +4,12 @@
  */
 import type { RandomSource } from '../../src/common/random.js';
 import type { AttemptAnswer, CallerAttempt } from '../model/caller-model.js';
-import type { BackendCall, NestedCallHandle } from '../model/backend-model.js';
+import type { BackendCall } from '../model/backend-model.js';
 import type { NestedCallModel } from '../model/deployment.js';
 import type { SimMachine } from './sim-network.js';
 import type { SimTarget } from './sim-target.js';
 import type { SimWorld } from './sim-world.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 const HOP_RETRIES = 2;
 const HOP_TIMEOUT_MS = 1_000;
@@ -30,7 +31,7 @@
   ) {}
 
   /** A caller's attempt. Callers retry by themselves. */
-  fromCaller(attempt: CallerAttempt, done: (answer: AttemptAnswer) => void): NestedCallHandle {
+  fromCaller(attempt: CallerAttempt, done: (answer: AttemptAnswer) => void): Cancellable {
     const service = this.world.table.matchKind(attempt.method, attempt.path)?.service ?? '';
     return this.send(undefined, service, attempt, (status) => {
       const check = status === STATUS_OK ? 'whole' : undefined;
@@ -44,10 +45,10 @@
     call: NestedCallModel,
     labId: string,
     done: (status: number) => void,
-  ): NestedCallHandle {
+  ): Cancellable {
     const { method, path, service } = call;
     let cancelled = false;
-    let current: NestedCallHandle | undefined;
+    let current: Cancellable | undefined;
     const attempt = (retriesLeft: number): void => {
       current = this.sendWithTimeout(from, service, { labId, method, path }, (status) => {
         if (cancelled) return;
@@ -69,7 +70,7 @@
     service: string,
     request: DirectRequest,
     done: (status: number) => void,
-  ): NestedCallHandle {
+  ): Cancellable {
     let over = false;
     const finish = (status: number): void => {
       if (over) return;
@@ -91,7 +92,7 @@
     service: string,
     request: DirectRequest,
     done: (status: number) => void,
-  ): NestedCallHandle {
+  ): Cancellable {
     const targets = this.world.targetsOf(service).filter((target) => target.machine.alive);
     const target = targets[this.random.below(targets.length)];
     let call: BackendCall | undefined;
--- a/lab/simulator/sidecars/sim-peer-transport.ts
+++ b/lab/simulator/sidecars/sim-peer-transport.ts
@@ -10,7 +10,7 @@
 import type { EndpointRecord } from '../../../src/call/endpoint.js';
 import type { RequestLineage } from './request-lineage.js';
 import type { SidecarNeighbours } from './sim-sidecar.js';
-import type { Cancellable } from './sim-target-work.js';
+import type { Cancellable } from '../../model/cancellable.js';
 
 /** One way between two machines, in milliseconds. */
 const LINK_DELAY_MS = 1;
--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -44,7 +44,8 @@
 import { RequestLineage } from './request-lineage.js';
 import { SimPeerTransport } from './sim-peer-transport.js';
 import { SimTargetTransport, type TargetFaults } from './sim-target-transport.js';
-import { SimTargetWork, type Cancellable } from './sim-target-work.js';
+import { SimTargetWork } from './sim-target-work.js';
+import type { Cancellable } from '../../model/cancellable.js';
 
 /** Targets of a service are spread over this many zones in turn. */
 const ZONES = 3;
--- a/lab/simulator/sidecars/sim-target-transport.ts
+++ b/lab/simulator/sidecars/sim-target-transport.ts
@@ -2,7 +2,7 @@
 import type { Attempt, AttemptListener, TargetTransport } from '../../../src/call/transport.js';
 import type { Clock } from '../../../src/common/clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
-import type { Cancellable } from './sim-target-work.js';
+import type { Cancellable } from '../../model/cancellable.js';
 
 /** What the targets of a service do wrong. */
 export interface TargetFaults {
--- a/lab/simulator/sidecars/sim-target-work.ts
+++ b/lab/simulator/sidecars/sim-target-work.ts
@@ -4,13 +4,9 @@
  */
 import type { Clock, Timer } from '../../../src/common/clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
+import type { Cancellable } from '../../model/cancellable.js';
 import type { SimRoute } from './call-graph.js';
 
-/** Ends something that is under way. */
-export interface Cancellable {
-  cancel(): void;
-}
-
 /** Sends a call that the target makes. `done` hears its status. */
 export type NestedSender = (
   route: string,
--- a/lab/simulator/sim-edge.ts
+++ b/lab/simulator/sim-edge.ts
@@ -16,6 +16,7 @@
 import { SimOutboundTransport } from './sim-transport.js';
 import { UnboundedAllowance, UNBOUNDED_RETRY_RATIO } from './unbounded-allowance.js';
 import type { SimWorld } from './sim-world.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
@@ -55,7 +56,7 @@
     attempt: CallerAttempt,
     group: string,
     answer: (answer: AttemptAnswer) => void,
-  ): { cancel(): void } {
+  ): Cancellable {
     const { table } = this.world;
     const kind = table.matchKind(attempt.method, attempt.path);
     if (kind === undefined) {
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -23,7 +23,7 @@
 import type { PolicyTable } from '../../src/policy/policy-table.js';
 import { RetryAllowance } from '../../src/retry/retry-allowance.js';
 import { ServiceDirectory } from '../../src/routing/service-directory.js';
-import { BackendModel, type BackendCall, type NestedCallHandle } from '../model/backend-model.js';
+import { BackendModel, type BackendCall } from '../model/backend-model.js';
 import type { NestedCallModel, TargetPlacement } from '../model/deployment.js';
 import { DirectPath } from './direct-path.js';
 import { LocalClaims } from './local-claims.js';
@@ -34,6 +34,7 @@
 import { SimOutboundTransport, type NodeAnswer, type SimRequest } from './sim-transport.js';
 import { UnboundedAllowance, UNBOUNDED_RETRY_RATIO } from './unbounded-allowance.js';
 import type { SimWorld } from './sim-world.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 /** As in the node program. */
 const LEAVING_LINGER_MS = 3_000;
@@ -47,11 +48,6 @@
 /** The answer to one call, with what the caller's side needs to know. */
 export type AnswerCallback = (answer: NodeAnswer) => void;
 
-/** A call under way at the node, so that its caller can withdraw it. */
-export interface SimInboundHandle {
-  cancel(): void;
-}
-
 export class SimTarget {
   readonly machine: SimMachine;
   readonly backend: BackendModel;
@@ -136,7 +132,7 @@
   }
 
   /** A call arrives at the node. */
-  handle(request: SimRequest, context: CallContext, answer: AnswerCallback): SimInboundHandle {
+  handle(request: SimRequest, context: CallContext, answer: AnswerCallback): Cancellable {
     const { service } = this.placement;
     const table = this.world.table;
     const needsClaim =
@@ -195,7 +191,7 @@
     call: NestedCallModel,
     labId: string,
     done: (status: number) => void,
-  ): NestedCallHandle {
+  ): Cancellable {
     if (!this.mechanisms.shoredoor) {
       return this.direct.fromTarget(this.machine, call, labId, done);
     }
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -9,8 +9,9 @@
 } from '../../src/call/transport.js';
 import type { EndpointRecord } from '../../src/call/endpoint.js';
 import type { SimMachine } from './sim-network.js';
-import type { SimInboundHandle, SimTarget } from './sim-target.js';
+import type { SimTarget } from './sim-target.js';
 import type { SimWorld } from './sim-world.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 /** A request as it travels through the simulator. */
 export interface SimRequest {
@@ -55,7 +56,7 @@
 class SimAttempt implements Attempt {
   private wasWritten = false;
   private over = false;
-  private inbound: SimInboundHandle | undefined;
+  private inbound: Cancellable | undefined;
   private target: SimTarget | undefined;
 
   constructor(
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -24,6 +24,7 @@
 import { SimEdge } from './sim-edge.js';
 import { SimNetwork, type SimMachine } from './sim-network.js';
 import { SimTarget } from './sim-target.js';
+import type { Cancellable } from '../model/cancellable.js';
 
 /** What a world is made of. */
 export interface SimWorldOptions {
@@ -193,7 +194,7 @@
     direct: DirectPath,
     attempt: CallerAttempt,
     done: (answer: AttemptAnswer) => void,
-  ): { cancel(): void } {
+  ): Cancellable {
     let over = false;
     const finish = (answer: AttemptAnswer): void => {
       if (over) return;
@@ -220,9 +221,9 @@
     attempt: Parameters<AttemptSender>[0],
     group: string,
     done: (answer: AttemptAnswer) => void,
-  ): { cancel(): void } {
+  ): Cancellable {
     let over = false;
-    let atEdge: { cancel(): void } | undefined;
+    let atEdge: Cancellable | undefined;
     const finish = (answer: AttemptAnswer): void => {
       if (over) return;
       over = true;
