--- a/bench/bare-proxy.ts
+++ b/bench/bare-proxy.ts
@@ -1,4 +1,7 @@
-/** The baseline: a plain `node:http` and `undici` proxy that forwards and nothing else. */
+/**
+ * The baseline of the benches: a plain `node:http` and `undici` proxy that forwards and does nothing else. A program
+ * of its own; its one argument is the origin to which it forwards.
+ */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Pool } from 'undici';
--- a/bench/bench-target.ts
+++ b/bench/bench-target.ts
@@ -1,4 +1,4 @@
-/** A back end that answers at once with a small body. */
+/** The target of the benches: answers at once with a small body. A program of its own. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,4 +1,7 @@
-/** Sends requests to one origin and measures how long each takes. */
+/**
+ * Sends requests to one origin and measures how long each takes. Owns the connections, which stay open between
+ * stretches of load.
+ */
 import { Pool } from 'undici';
 
 const CONNECTIONS = 64;
--- a/bench/process-usage.ts
+++ b/bench/process-usage.ts
@@ -1,4 +1,4 @@
-/** Processor time and memory of a process, from the kernel's own count. */
+/** Processor time and memory of a process, from the kernel's own count. Relies on Linux' `/proc`. */
 import { readFileSync } from 'node:fs';
 
 /** Clock ticks a second in `/proc`, fixed on Linux. */
--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -1,4 +1,7 @@
-/** A control replica and sidecars as real processes on loopback, all beside one stand-in target. */
+/**
+ * A control replica and sidecars as real processes on loopback, all beside one stand-in target. Owns the processes
+ * and reports the target to each sidecar, as targets do.
+ */
 import { join } from 'node:path';
 import { request } from 'undici';
 import { freePorts } from '../lab/fleet/free-ports.js';
--- a/lab/check/random-scenario.ts
+++ b/lab/check/random-scenario.ts
@@ -1,4 +1,7 @@
-/** A random scenario from a seed: load and faults at any moment, together or twice. */
+/**
+ * A random scenario from a seed: load and faults at any moment, together or twice. Pure; the scenario of a seed stays
+ * the same as long as the built-in deployments do.
+ */
 import { SeededRandom, type RandomSource } from '../../src/common/random.js';
 import { loadDeployment } from '../model/load-deployment.js';
 import { placeTargets, type Deployment } from '../model/deployment.js';
--- a/lab/check/run-check.ts
+++ b/lab/check/run-check.ts
@@ -1,4 +1,7 @@
-/** Random fault schedules against the promises: many seeds, each failure shrunk and replayable. */
+/**
+ * Random fault schedules against the promises: many seeds, each failure shrunk and replayable. Relies on the
+ * experiment for calls and on the control simulator for configuration.
+ */
 import { stringify } from 'yaml';
 import { PROMISE_IDS, type PromiseId, type Violation } from '../experiment/promises.js';
 import { simulateExperiment } from '../experiment/run-experiment.js';
--- a/lab/cli/check-command.ts
+++ b/lab/cli/check-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab check`. */
+/** `shoredoor-lab check`: reads the options and runs the seeds. */
 import type { CAC } from 'cac';
 import { UsageError } from '../../src/common/errors.js';
 import { mechanismsFrom, wholeNumber } from './options.js';
--- a/lab/cli/retry-bound-command.ts
+++ b/lab/cli/retry-bound-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab retry-bound`. */
+/** `shoredoor-lab retry-bound`: reads kinds and limits, and prints the bound. */
 import type { CAC } from 'cac';
 import { z } from 'zod';
 import { UsageError } from '../../src/common/errors.js';
--- a/lab/cli/soak-command.ts
+++ b/lab/cli/soak-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab soak`. */
+/** `shoredoor-lab soak`: draws the plan of each seed, runs it, and prints a line for it. */
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { CAC } from 'cac';
--- a/lab/experiment/result.ts
+++ b/lab/experiment/result.ts
@@ -1,4 +1,7 @@
-/** Turns the records of a run into the figures that reports and checks use. */
+/**
+ * Turns the records of a run into the figures that reports and checks use. Pure, and the same for simulated runs and
+ * real processes.
+ */
 import type { RequestRecord } from '../model/caller-model.js';
 import { firstDisturbance, lastDisturbanceEnd, type Scenario } from './scenario.js';
 import { timeSeries, type SeriesPoint } from './time-series.js';
--- a/lab/experiment/run-experiment.ts
+++ b/lab/experiment/run-experiment.ts
@@ -1,4 +1,7 @@
-/** One experiment: a run, its figures, and the promises that it broke. */
+/**
+ * One experiment: a run, its figures, and the promises that it broke. Simulated here; `lab/fleet/fleet-experiment.ts`
+ * runs the same scenarios on processes and has them judged here.
+ */
 import { readDeclarations } from '../../src/cli/resource-files.js';
 import { PolicyTable } from '../../src/policy/policy-table.js';
 import type { LoadedDeployment } from '../model/load-deployment.js';
--- a/lab/experiment/run-simulation.ts
+++ b/lab/experiment/run-simulation.ts
@@ -1,4 +1,7 @@
-/** Runs a scenario in virtual time. */
+/**
+ * Runs a scenario in virtual time: wires callers and faults to a simulated deployment. Owns what a run leaves for the
+ * checks.
+ */
 import { readDeclarations } from '../../src/cli/resource-files.js';
 import { CallerModel, type RequestRecord } from '../model/caller-model.js';
 import type { ExecutionRecord } from '../model/backend-model.js';
--- a/lab/experiment/time-series.ts
+++ b/lab/experiment/time-series.ts
@@ -1,4 +1,4 @@
-/** What happened over time in a run, for plots. */
+/** Counts what happened over time in a run, for the plots of a report. Pure. */
 import type { RequestRecord } from '../model/caller-model.js';
 
 /** Requests of one kind that ended in one way, or began, within one step. */
--- a/lab/fleet/child-process.ts
+++ b/lab/fleet/child-process.ts
@@ -1,6 +1,6 @@
 /**
- * Starts and ends the processes of a fleet. This launcher belongs to the lab: no program of the
- * product starts a process.
+ * Starts and ends one process and reads where it listens. Owns the process and its log file; relies on the line in
+ * which every program announces its origins. Belongs to the lab: no program of the product starts a process.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
--- a/lab/fleet/execution-records.ts
+++ b/lab/fleet/execution-records.ts
@@ -1,4 +1,4 @@
-/** Reads what a back end wrote down of its executions. A kill may have cut the last line short. */
+/** Reads what a stand-in back end wrote down of its executions. A kill may have cut the last line short. */
 import { existsSync, readFileSync } from 'node:fs';
 import type { ExecutionRecord } from '../model/backend-model.js';
 
--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -1,4 +1,7 @@
-/** Runs a scenario on real processes. */
+/**
+ * Runs a scenario on real processes: wires callers and faults to a fleet. Figures and promises are those of simulated
+ * runs.
+ */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/lab/process/backend-process.ts
+++ b/lab/process/backend-process.ts
@@ -1,4 +1,7 @@
-/** A stand-in back end as a process of its own: the model behind an HTTP server. */
+/**
+ * A stand-in back end as a process of its own: the model of the simulator behind an HTTP server, with paths by which
+ * the lab makes it slow or cold. Owns its log of executions.
+ */
 import { openSync, writeSync } from 'node:fs';
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
--- a/lab/process/http-attempt-sender.ts
+++ b/lab/process/http-attempt-sender.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of the lab's callers to edges over HTTP. */
+/** Sends the attempts of the lab's callers to edges over HTTP. Owns the connections. */
 import { Agent, request } from 'undici';
 import { VERDICT_HEADER } from '../../src/call/call-context.js';
 import { checkAnswer } from '../model/answer-body.js';
--- a/lab/report/render-report.ts
+++ b/lab/report/render-report.ts
@@ -1,4 +1,4 @@
-/** Renders a run as one HTML page with plots over time. */
+/** Renders a run as one HTML page with plots over time. Relies on vega to draw. */
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 import { describeRun } from '../experiment/summary.js';
--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -1,4 +1,4 @@
-/** One node of a {@link ClaimWorld}: the product's claim modules over the simulated network. */
+/** One node of a {@link ClaimWorld}: the product's claim modules, unchanged, over the simulated network. */
 import type { ClaimDecision } from '../../../src/dedup/claim.js';
 import type { ClaimCandidate } from '../../../src/control/claim-view-planner.js';
 import { ClaimReplica } from '../../../src/dedup/claim-replica.js';
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -40,6 +40,8 @@
 /** Nodes that may be down or cut off together. */
 const MAX_DISTURBED = 2;
 const ZONE_LATENCY_MS = 1;
+/** Silence counts this many times here, so that views change more often than in the product. */
+const SILENCE_FACTOR = 30;
 
 export class ClaimWorld {
   readonly clock = new VirtualClock();
@@ -137,7 +139,6 @@
       service: SERVICE,
       current: this.view,
       candidates: heard.map((node) => node.candidate()),
-      // Shorter than in the product, so that views change often.
       silentForMs: (id) => (now - (this.heardAt.get(id) ?? now)) * SILENCE_FACTOR,
     });
     if (next === undefined) return;
@@ -151,5 +152,3 @@
     }
   }
 }
-
-const SILENCE_FACTOR = 30;
--- a/lab/simulator/quota/quota-checker.ts
+++ b/lab/simulator/quota/quota-checker.ts
@@ -1,4 +1,7 @@
-/** Watches from outside which requests of a group run, against the exact bound of any window of time. */
+/**
+ * Watches from outside which requests of a group run, against the exact bound of any window of time. Knows nothing of
+ * how the quota is kept.
+ */
 import type { GroupRate } from '../../../src/policy/group-table.js';
 import { boundInWindow, type QuotaRule } from '../../../src/quota/quota-rule.js';
 
--- a/lab/simulator/quota/quota-ways.ts
+++ b/lab/simulator/quota/quota-ways.ts
@@ -1,4 +1,7 @@
-/** Ways to keep the quota of a group over many ingresses, behind one interface; the product uses leases. */
+/**
+ * Ways to keep the quota of a group over many ingresses, behind one interface: the product's leases, and two that
+ * break what the tests ask of a quota, which shows that the tests can tell.
+ */
 import type { Clock } from '../../../src/common/clock.js';
 import type { Group } from '../../../src/policy/group-table.js';
 import { IngressQuota } from '../../../src/quota/ingress-quota.js';
--- a/lab/simulator/replication/replication-faults.ts
+++ b/lab/simulator/replication/replication-faults.ts
@@ -1,4 +1,7 @@
-/** Random faults against a {@link ReplicationWorld}, and their end. */
+/**
+ * Random faults against a {@link ReplicationWorld}, and their end. Owns the log of what was done; the seed is the
+ * world's.
+ */
 import type { CutDirection, SimMachine } from '../sim-network.js';
 import type { ReplicationWorld } from './replication-world.js';
 import type { SimReplica } from './sim-replica.js';
--- a/lab/simulator/replication/replication-network.ts
+++ b/lab/simulator/replication/replication-network.ts
@@ -1,4 +1,7 @@
-/** The network of simulated control replicas: also drops, repeats and reorders their messages. */
+/**
+ * The network of simulated control replicas: also drops, repeats and reorders their messages. Relies on
+ * {@link SimNetwork} for latencies and cuts.
+ */
 import type { VirtualClock } from '../../../src/common/virtual-clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { MessageTarget } from '../../../src/consensus/raft-types.js';
--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -1,4 +1,7 @@
-/** A node's view of configuration in virtual time: follows any replica, restarts without a disk. */
+/**
+ * A node's view of configuration in virtual time: follows any replica, restarts without a disk. The view and the proof
+ * of its age are the product's; whom it asks, and when, is its own.
+ */
 import { ConfigurationProof } from '../../../src/follower/configuration-proof.js';
 import { ConfigurationView } from '../../../src/follower/configuration-view.js';
 import type { SyncResponse } from '../../../src/sync/sync-protocol.js';
--- a/lab/simulator/sidecars/call-graph.ts
+++ b/lab/simulator/sidecars/call-graph.ts
@@ -1,4 +1,4 @@
-/** A deployment of sidecars for the simulation in virtual time: services, routes and demand. */
+/** A deployment of sidecars for the simulation in virtual time: its services, and routes with their demand. */
 import type { Importance } from '../../../src/policy/importance.js';
 import type { Route } from '../../../src/policy/route-table.js';
 
--- a/lab/simulator/sidecars/sidecar-world.ts
+++ b/lab/simulator/sidecars/sidecar-world.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a call graph of sidecars in virtual time under a demand that varies, and counts what clients
- * got. A run depends on its seed alone.
+ * Runs a call graph of sidecars in virtual time under a demand that varies, and counts what clients got. Owns clock,
+ * random source and clients; control and its losses are left out. One seed gives one run.
  */
 import { exponential, SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
--- a/lab/simulator/sidecars/sim-peer-transport.ts
+++ b/lab/simulator/sidecars/sim-peer-transport.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of one simulated request to gates. */
+/** Sends the attempts of one simulated request to the gates of other sidecars, over links that take a fixed time. */
 import type { Outcome } from '../../../src/call/outcome.js';
 import type {
   Attempt,
--- a/lab/simulator/sidecars/sim-target-work.ts
+++ b/lab/simulator/sidecars/sim-target-work.ts
@@ -31,6 +31,7 @@
   /** Calls that are made at the same time. */
   private readonly callsPerStep: number;
   private readonly partMs: number;
+  private readonly startedAt: number;
   private nextCall = 0;
 
   /** @param deadlineMs time after which the target gives up */
@@ -56,8 +57,6 @@
     this.workOn();
   }
 
-  private readonly startedAt: number;
-
   /** Whether the target is still at work on the call. */
   get isRunning(): boolean {
     return !this.isOver;
--- a/lab/simulator/sim-edge.ts
+++ b/lab/simulator/sim-edge.ts
@@ -1,4 +1,4 @@
-/** A simulated edge: group, kind and context as in the product, then the product's router. */
+/** A simulated edge: group, kind and context as in the product, then the product's router, unchanged. */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { edgeOutboundRequest, mintContext } from '../../src/edge/mint-context.js';
 import type { CallContext } from '../../src/call/call-context.js';
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated target with its node: the product's decision modules, unchanged, around the
- * stand-in back end.
+ * One simulated target with its node: the product's decision modules, unchanged, around the stand-in back end. Owns
+ * what a restart of the node loses.
  */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { AdmissionController } from '../../src/admission/admission-controller.js';
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment in virtual time: machines, network, targets with their nodes, edges, callers.
- * One seed gives one run.
+ * A whole deployment of edges and nodes in virtual time: machines, network, targets, and a stand-in for control that
+ * plans claim views and passes the endpoint list on late. One seed gives one run.
  */
 import type { CallContext } from '../../src/call/call-context.js';
 import { SeededRandom } from '../../src/common/random.js';
--- a/lab/soak/run-soak.ts
+++ b/lab/soak/run-soak.ts
@@ -1,4 +1,7 @@
-/** Runs one soak: real processes on loopback, faults from outside, and checks of what callers and targets see. */
+/**
+ * Runs one soak: real processes on loopback, faults from outside, and checks of what callers and targets see. Wires
+ * fleet, targets, clients, operator and faults of a plan; what they see goes into a {@link SoakRecord}.
+ */
 import { existsSync, mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { request } from 'undici';
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -1,4 +1,7 @@
-/** The processes of a soak: control replicas and sidecars on loopback, restarted at the same addresses. */
+/**
+ * The processes of a soak: control replicas and sidecars on loopback, restarted at the same addresses. Owns them and the
+ * proxies before the sidecars; targets and clients live in the soak's own process.
+ */
 import { join } from 'node:path';
 import { UsageError } from '../../src/common/errors.js';
 import { freePorts } from '../fleet/free-ports.js';
