--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -5,6 +5,7 @@
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+import { isDeepStrictEqual } from 'node:util';
 import { ValidationError } from '../../src/common/errors.js';
 import { SeededRandom } from '../../src/common/random.js';
 import { evaluateRun, type ExperimentReport } from '../experiment/run-experiment.js';
@@ -13,6 +14,7 @@
 import { CallerModel, type RequestRecord } from '../model/caller-model.js';
 import type { LoadedDeployment } from '../model/load-deployment.js';
 import { createHttpSender } from '../process/http-attempt-sender.js';
+import { mechanismsSchema } from '../simulator/mechanisms.js';
 import { Fleet } from './fleet.js';
 import { RunClock } from './run-clock.js';
 
@@ -36,7 +38,7 @@
   seed: number,
   listener?: FleetRunListener,
 ): Promise<ExperimentReport> {
-  checkFaults(scenario);
+  checkRunsAsFleet(scenario);
   const workDir = mkdtempSync(join(tmpdir(), 'shoredoor-fleet-'));
   const fleet = await Fleet.start({
     deployment: loaded.deployment,
@@ -73,12 +75,15 @@
   }
 }
 
-function checkFaults(scenario: Scenario): void {
-  const faults = scenario.faults.flatMap((fault, index) =>
-    SIMULATED_ONLY.includes(fault.type)
-      ? [{ path: `faults[${index}].type`, message: `'${fault.type}' runs in mode simulate only` }]
+function checkRunsAsFleet({ faults: planned, mechanisms }: Scenario): void {
+  const faults = planned.flatMap(({ type }, index) =>
+    SIMULATED_ONLY.includes(type)
+      ? [{ path: `faults[${index}].type`, message: `'${type}' runs in mode simulate only` }]
       : [],
   );
+  if (!isDeepStrictEqual(mechanisms, mechanismsSchema.parse({}))) {
+    faults.push({ path: 'mechanisms', message: 'switches act in mode simulate only' });
+  }
   if (faults.length === 0) return;
   throw new ValidationError('the scenario can not run as a fleet', { props: { faults } });
 }
