--- a/test/lab/control-recovery.test.ts
+++ b/test/lab/control-recovery.test.ts
@@ -6,7 +6,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import type { StatusReport } from '../../src/control/status-report.js';
+import type { StatusReport } from '../../src/sync/status-report.js';
 import { parseResource } from '../../src/policy/resource-schema.js';
 import { ControlReplicas, type ControlReplica } from '../../lab/fleet/control-replicas.js';
 import { until } from '../support/processes.js';
