--- a/src/outbound/attempts.ts
+++ b/src/outbound/attempts.ts
@@ -73,6 +73,16 @@
     return this.latest?.written ?? false;
   }
 
+  /** Whether any part of any attempt under way may have reached the other side. */
+  get isAnyWritten(): boolean {
+    return this.isFirstWritten || this.isLatestWritten;
+  }
+
+  /** Whether any part of the attempt whose answer was late may have reached the other side. */
+  get isFirstWritten(): boolean {
+    return this.state.type === 'hedged' && this.state.first.written;
+  }
+
   /** Whether `attempt` is the one of two whose answer was late. */
   isFirst(attempt: SentAttempt): boolean {
     return this.state.type === 'hedged' && this.state.first === attempt;
--- a/src/outbound/call-learning.ts
+++ b/src/outbound/call-learning.ts
@@ -59,14 +59,13 @@
   onOutcome(outcome: Outcome): void {
     this.nested = outcome.nested === true;
     this.repeatRoom = outcome.load?.repeatRoom ?? RepeatRoom.Runs;
-    if (outcome.rejectedByTarget === true || outcome.verdict !== 'not-run') {
-      this.mayHaveArrived = true;
-    }
+    this.mayHaveArrived ||= hasArrived(outcome);
   }
 
   /** A gate refused an attempt. */
   onRefusal(outcome: Outcome): void {
     this.currentVerdict = combineVerdicts(this.currentVerdict, outcome.verdict);
+    this.mayHaveArrived ||= hasArrived(outcome);
     this.overloaded ||= outcome.overloaded;
     this.informThrottle(outcome.overloaded, outcome);
   }
@@ -83,3 +82,8 @@
     this.throttle.onAnswer(this.trafficClass, this.clock.now(), { overloaded });
   }
 }
+
+/** Whether the request has arrived at a target, or may have. */
+function hasArrived({ rejectedByTarget, verdict }: Outcome): boolean {
+  return rejectedByTarget === true || verdict !== 'not-run';
+}
--- a/src/outbound/outbound-call.ts
+++ b/src/outbound/outbound-call.ts
@@ -200,6 +200,8 @@
 
   private onFailure(sent: SentAttempt, failure: AttemptFailure): void {
     const isCallerGone = failure.reason === 'caller-gone';
+    // Not counted, one of two attempts that broke after it was written let the call end as not run.
+    if (failure.written) this.learned.onMayHaveArrived();
     if (this.attempts.isFirst(sent)) this.attempts.dropFirst();
     else if (this.attempts.isHedged && !isCallerGone) this.returnToFirst('failed');
     else this.onOnlyFailure(sent, failure);
@@ -214,7 +216,7 @@
     if (failure.written) sent.loan.settleLost();
     else sent.loan.settleUnused();
     sent.end(isCallerGone ? 'cancelled' : 'failed');
-    if (failure.written) this.learned.onMayHaveArrived();
+    if (this.attempts.isFirstWritten) this.learned.onMayHaveArrived();
     if (isCallerGone) this.refuse(BODY_BROKE_OFF);
     else this.continueAfter(brokenAttempt(failure), CONNECTION_BROKE);
   }
@@ -258,7 +260,7 @@
   /** Ends the call whatever is under way. */
   private giveUp(cause: RefusalCause): void {
     if (this.finished) return;
-    const isWritten = this.attempts.isLatestWritten;
+    const isWritten = this.attempts.isAnyWritten;
     this.attempts.cancelAll('failed');
     if (this.answerBegan) {
       this.finish({ type: 'broken', verdict: this.learned.verdict });
