--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -1,6 +1,8 @@
 /**
  * The inbound side of a sidecar: takes routed calls from other sidecars for the target of its
- * machine. It alone sends to that target, so it decides what enters and in which order.
+ * machine. It alone sends to that target, so it decides what enters and in which order: `arrival-rules.ts` and
+ * `call-entry.ts` have the rules. Owns the exchanges under way; relies on the link server for frames, and counts and logs
+ * how each call ended.
  */
 import { GateTransport, type GateTransportOptions } from './gate-transport.js';
 import type { IncomingLinkCall } from '../link/link-server.js';
@@ -41,9 +43,9 @@
     const { origins, services, transport } = this.options;
     const { context: frame, headers } = call.frame;
     origins.onCall(frame.kind, headerOf(headers, transport.names.callingService) ?? '');
-    const nested = origins.isNested(frame.kind);
-    const context = gateContext(frame, nested, services.clock.now());
-    const exchange = new GateExchange(this.options, call, context, nested);
+    const isNested = origins.isNested(frame.kind);
+    const context = gateContext(frame, isNested, services.clock.now());
+    const exchange = new GateExchange(this.options, call, context, isNested);
     this.underWay.add(exchange);
     exchange.start(() => this.underWay.delete(exchange));
   };
@@ -65,7 +67,7 @@
     private readonly options: GateServerOptions,
     private readonly incoming: IncomingLinkCall,
     private readonly context: CallContext,
-    private readonly nested: boolean,
+    private readonly isNested: boolean,
   ) {
     this.startedAt = options.services.clock.now();
   }
@@ -91,7 +93,7 @@
       services,
       new GateTransport(transport, context, incoming),
       (result) => this.onResult(call, result),
-      new GateCallRules(services, context, gateOptions(incoming.frame.context, this.nested)),
+      new GateCallRules(services, context, gateOptions(incoming.frame.context, this.isNested)),
     );
     this.call = call;
     incoming.takeOutcome = (): Outcome => call.takeOutcome('ran', undefined);
