--- a/src/programs/sidecar-target.ts
+++ b/src/programs/sidecar-target.ts
@@ -3,16 +3,16 @@
  * are, and which connections lead to it. Owns what was announced of the target; relies on the lease to say which target
  * is in use, and on the follower to announce it.
  */
+import type { AdmissionController } from '../admission/admission-controller.js';
+import type { SlotLimiter } from '../admission/slot-limiter.js';
 import { StopPhase, type StopProgress } from '../call/stop-phase.js';
 import type { Logger } from '../common/logger.js';
-import { incarnationName, isSameIncarnation, type Incarnation } from '../membership/incarnation.js';
-import { probeTarget } from '../membership/target-probe.js';
-import type { SlotLimiter } from '../admission/slot-limiter.js';
-import type { AdmissionController } from '../admission/admission-controller.js';
 import type { Follower } from '../follower/follower.js';
 import type { TargetHeaders } from '../http/target-headers.js';
+import { incarnationName, isSameIncarnation, type Incarnation } from '../membership/incarnation.js';
 import type { InstancePool } from '../membership/instance-pool.js';
 import type { TargetLease, TargetReport } from '../membership/target-lease.js';
+import { probeTarget } from '../membership/target-probe.js';
 import type { CrashGuard } from '../quarantine/crash-guard.js';
 import type { ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { SidecarSettings } from '../settings/sidecar-settings.js';
