--- a/src/storage/log-storage.ts
+++ b/src/storage/log-storage.ts
@@ -62,6 +62,7 @@
   private entries: LogEntry[];
   private readonly queue: PendingWrite[] = [];
   private busy = false;
+  private isClosed = false;
   private failure: Error | undefined;
 
   private constructor(
@@ -115,7 +116,12 @@
     this.enqueue({ type: 'snapshot', snapshot, done });
   }
 
+  /**
+   * Closes the files. Writes that have not begun are dropped without a call back, as in a crash: their descriptor may belong
+   * to another file or connection by then.
+   */
   close(): void {
+    this.isClosed = true;
     this.file.close();
   }
 
@@ -126,7 +132,7 @@
 
   private writeNext(): void {
     const first = this.queue[0];
-    if (first === undefined) return;
+    if (first === undefined || this.isClosed) return;
     if (this.failure !== undefined) {
       this.finish([this.queue.shift()!], this.failure);
       return;
@@ -164,7 +170,8 @@
   private writeSnapshot(pending: PendingSnapshot): void {
     const { snapshot } = pending;
     this.files.replace(SNAPSHOT_FILE, encodeRecord(encodeMessage(snapshot)), (error) => {
-      if (error !== undefined) this.finish([pending], error);
+      // A log that is older than the snapshot is read as well: it may stay where the storage was closed meanwhile.
+      if (error !== undefined || this.isClosed) this.finish([pending], error);
       else this.rewriteLog(pending);
     });
   }
@@ -176,7 +183,7 @@
     this.snapshot = snapshot;
     const bytes = encodeLog(snapshot, this.hardState, this.entries);
     this.files.replace(LOG_FILE, bytes, (error) => {
-      if (error === undefined) {
+      if (error === undefined && !this.isClosed) {
         this.file.close();
         this.file = this.files.openAppend(LOG_FILE, bytes.length);
       }
--- /dev/null
+++ b/test/storage/closed-log.test.ts
@@ -0,0 +1,81 @@
+/**
+ * Symptom: a control replica that was stopped while it wrote ended with EBADF, thrown where the descriptor of its log was
+ * closed a second time. Cause: writes that were queued behind the one under way were begun after the file was closed, on a
+ * descriptor that the system may have given to another file or connection since.
+ */
+import { expect } from 'chai';
+import { LogStorage } from '../../src/storage/log-storage.js';
+import type { AppendFile, FileCallback, StorageFiles } from '../../src/storage/storage-files.js';
+
+/** Files whose writes end when the test says so. */
+class HeldFiles implements StorageFiles {
+  readonly contents = new Map<string, Uint8Array>();
+  readonly underWay: FileCallback[] = [];
+  readonly faults: string[] = [];
+  opened = 0;
+
+  read(name: string): Uint8Array | undefined {
+    return this.contents.get(name);
+  }
+
+  replace(name: string, bytes: Uint8Array, done: FileCallback): void {
+    this.contents.set(name, bytes);
+    this.underWay.push(done);
+  }
+
+  openAppend(): AppendFile {
+    this.opened += 1;
+    let isClosed = false;
+    return {
+      append: (_bytes, done) => {
+        if (isClosed) this.faults.push('a write was begun on a closed file');
+        this.underWay.push(done);
+      },
+      close: () => {
+        isClosed = true;
+      },
+    };
+  }
+
+  /** Ends the write under way, and whichever follow on it. */
+  endWrites(): void {
+    for (let done = this.underWay.shift(); done !== undefined; done = this.underWay.shift()) {
+      done(undefined);
+    }
+  }
+}
+
+describe('a log that is closed while it writes', () => {
+  let files: HeldFiles;
+  let storage: LogStorage;
+
+  beforeEach(() => {
+    files = new HeldFiles();
+    LogStorage.create(files, () => undefined);
+    files.endWrites();
+    const opened = LogStorage.open(files);
+    if (opened.type !== 'opened') throw new Error(opened.reason);
+    ({ storage } = opened);
+  });
+
+  it('begins no write that was queued, and acknowledges none', () => {
+    const ended: string[] = [];
+    storage.saveHardState({ term: 1, votedFor: 'a' }, () => ended.push('first'));
+    storage.saveHardState({ term: 2, votedFor: 'a' }, () => ended.push('second'));
+    storage.close();
+    files.endWrites();
+    storage.saveHardState({ term: 3, votedFor: 'a' }, () => ended.push('third'));
+    files.endWrites();
+    expect(files.faults).to.deep.equal([]);
+    expect(ended).to.deep.equal(['first']);
+  });
+
+  it('opens no file again after a snapshot that was under way', () => {
+    const replicas = { voters: [], learners: [] };
+    const snapshot = { index: 0, term: 0, replicas, data: Buffer.alloc(0) };
+    storage.saveSnapshot(snapshot, () => undefined);
+    storage.close();
+    files.endWrites();
+    expect(files.opened).to.equal(1);
+  });
+});
