--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { parseAllDocuments } from 'yaml';
 import { ValidationError, type Fault } from '../common/errors.js';
-import { conflictFaults } from '../policy/policy-table.js';
+import { conflictFaults } from '../policy/policy-conflicts.js';
 import {
   parseResource,
   DECLARED_KINDS,
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -12,7 +12,7 @@
   type ResourceId,
   type StoredResource,
 } from '../policy/stored-resource.js';
-import { conflictFaults } from '../policy/policy-table.js';
+import { conflictFaults } from '../policy/policy-conflicts.js';
 import type { Resource } from '../policy/resource-schema.js';
 import { ChangeHistory } from './change-history.js';
 import type {
--- a/src/policy/policy-table.ts
+++ b/src/policy/policy-table.ts
@@ -2,7 +2,6 @@
  * The declared resources, compiled into the lookups that each call needs. Immutable: a new revision
  * gives a new table, and a call keeps the table it started with.
  */
-import type { Fault } from '../common/errors.js';
 import { GroupTable, type Group } from './group-table.js';
 import { importanceFromName, type Importance } from './importance.js';
 import { PathPattern } from './path-pattern.js';
@@ -54,7 +53,7 @@
 
   /**
    * @param revision store revision that the resources stand at
-   * @param resources valid resources without conflicts (see {@link conflictFaults})
+   * @param resources valid resources without conflicts (see `policy-conflicts.ts`)
    */
   constructor(
     readonly revision: number,
@@ -175,58 +174,3 @@
 
 /** The table before any revision has been received: it knows no kind and no group. */
 export const EMPTY_POLICY_TABLE = new PolicyTable(0, []);
-
-/** Finds who first declared a name, and reports later declarations by other policies. */
-class NameOwners {
-  private readonly ownerByName = new Map<string, string>();
-
-  constructor(private readonly what: string) {}
-
-  claim(name: string, owner: string, path: string, faults: Fault[]): void {
-    const other = this.ownerByName.get(name);
-    if (other === undefined) this.ownerByName.set(name, owner);
-    else if (other !== owner) {
-      faults.push({ path, message: `${this.what} '${name}' is already declared by ${other}` });
-    }
-  }
-}
-
-/**
- * Faults of `candidate` against the other resources: a group, a kind, an API key or a route that
- * another policy already declares, or a second default group.
- */
-export function conflictFaults(candidate: Resource, others: Iterable<Resource>): Fault[] {
-  if (candidate.kind !== 'Policy') return [];
-  const faults: Fault[] = [];
-  const owners = {
-    group: new NameOwners('group'),
-    kind: new NameOwners('kind'),
-    key: new NameOwners('API key hash'),
-    route: new NameOwners('route'),
-    defaultGroup: new NameOwners('default group'),
-  };
-  const claimAll = (policy: PolicyResource, into: Fault[]): void => {
-    const owner = `policy '${policy.name}'`;
-    policy.spec.groups.forEach((group, index) => {
-      owners.group.claim(group.name, owner, `spec.groups[${index}].name`, into);
-      for (const hash of group.keyHashes) {
-        owners.key.claim(hash, `${owner}, group '${group.name}'`, `spec.groups[${index}]`, into);
-      }
-    });
-    policy.spec.kinds.forEach((kind, index) => {
-      owners.kind.claim(kind.name, owner, `spec.kinds[${index}].name`, into);
-      for (const match of kind.match) {
-        const route = `${match.method} ${match.path}`;
-        owners.route.claim(route, `${owner}, kind '${kind.name}'`, `spec.kinds[${index}]`, into);
-      }
-    });
-    if (policy.spec.defaultGroup !== undefined) {
-      owners.defaultGroup.claim('default', owner, 'spec.defaultGroup', into);
-    }
-  };
-  for (const other of others) {
-    if (other.kind === 'Policy' && other.name !== candidate.name) claimAll(other, []);
-  }
-  claimAll(candidate, faults);
-  return faults;
-}
