--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -57,6 +57,7 @@
     const refusal = await log.readBarrier();
     if (refusal !== undefined) return { type: 'unknown', refusal };
     const { version } = document;
+    // Every resource has passed the schema above.
     const resources = document.resources as readonly SetResource[];
     const digest = digestOf(resources);
     const judgement = store.declarations.judge(version, baseVersion, digest);
@@ -68,15 +69,12 @@
     }
     const difference = this.differenceFrom(resources);
     const at = this.options.wallClock();
-    const outcome = await log.propose({
-      type: 'declare',
-      version,
-      baseVersion,
-      digest,
-      ...difference,
-      actor,
-      at,
-    });
+    const set = { type: 'declare', version, baseVersion, digest } as const;
+    return this.propose({ ...set, ...difference, actor, at });
+  }
+
+  private async propose(command: DeclareCommand): Promise<DeclareOutcome> {
+    const outcome = await this.options.log.propose(command);
     if (outcome.type === 'applied') return outcome.result;
     if (outcome.refusal.type === 'not-leader') return outcome.refusal;
     return { type: 'unknown', refusal: outcome.refusal };
