--- a/src/http/answer-sink.ts
+++ b/src/http/answer-sink.ts
@@ -1,4 +1,9 @@
-/** Where an answer goes as it arrives. `http.ServerResponse` is one. */
+/**
+ * Where an answer goes as it arrives: the part of `http.ServerResponse` that a relay uses, so that a link can take its
+ * place.
+ *
+ * For: `relay-handler.ts`. Owns: nothing. Relies on: the meaning that Node.js gives to these methods.
+ */
 import type { RawHeaders } from './header-filter.js';
 
 export interface AnswerSink {
--- a/src/http/answer-times.ts
+++ b/src/http/answer-times.ts
@@ -1,10 +1,15 @@
-/** How long a target usually takes to begin an answer, and which waits are too long for that. Pure. */
+/**
+ * How long a target usually takes to begin an answer, and which waits are too long for that. Pure.
+ *
+ * For: `instance-pool.ts`, which exchanges connections that may have fallen silent. Owns: the usual time of one
+ * incarnation. Relies on: being told of every answer that begins.
+ */
 
-/** Weight of one answer in the usual time. */
+/** Weight of one answer in the usual time, an exponentially weighted mean. Not measured. */
 const WEIGHT = 0.1;
-/** A wait of this multiple of the usual time is suspicious: the slowest calls of most targets take less. */
+/** A wait of this multiple of the usual time is suspicious: the slowest calls of most targets take less. Not measured. */
 const SUSPICIOUS_MULTIPLE = 3;
-/** No wait below this is suspicious, in milliseconds: short times vary by more. */
+/** No wait below this is suspicious, in milliseconds: short times vary by more. Not measured. */
 const MIN_SUSPICIOUS_MS = 300;
 
 export class AnswerTimes {
--- a/src/http/api-problem.ts
+++ b/src/http/api-problem.ts
@@ -1,4 +1,9 @@
-/** Problem Details (RFC 9457) of the resource API. */
+/**
+ * Problem Details (RFC 9457) of control's APIs and of a sidecar's registration API.
+ *
+ * For: every handler of these APIs. Owns: the types of problems and their HTTP status. Relies on: `api-response.ts` to
+ * write them. Refusals of calls are another matter: `src/call/refusal.ts`.
+ */
 import type { Fault } from '../common/errors.js';
 import type { Verdict } from '../common/verdict.js';
 import type { StoredResource } from '../policy/stored-resource.js';
--- a/src/http/api-request.ts
+++ b/src/http/api-request.ts
@@ -1,4 +1,8 @@
-/** Reads the JSON body of a request to one of control's APIs. */
+/**
+ * Reads the JSON body of a request to one of control's APIs or to a sidecar's registration API.
+ *
+ * For: their handlers. Owns: the longest time for a body. Relies on: `request-body.ts`; the largest size is the caller's.
+ */
 import type { IncomingMessage } from 'node:http';
 import { readRequestBody } from './request-body.js';
 import { apiProblem, type ApiProblem } from './api-problem.js';
@@ -8,6 +12,7 @@
   | { readonly type: 'value'; readonly value: unknown }
   | { readonly type: 'problem'; readonly problem: ApiProblem };
 
+/** Longest time for the whole body to arrive, in milliseconds. Not measured. */
 const BODY_TIMEOUT_MS = 10_000;
 
 /** Reads and parses a body of at most `maxBytes`. */
@@ -26,6 +31,7 @@
   try {
     return { type: 'value', value: JSON.parse(bytes.toString('utf8')) as unknown };
   } catch {
+    // The client is told. Where the parser stopped is left out: it would quote the body.
     return { type: 'problem', problem: apiProblem('invalid', 'The body is not JSON.') };
   }
 }
--- a/src/http/api-response.ts
+++ b/src/http/api-response.ts
@@ -1,9 +1,15 @@
-/** Writes answers of the resource API. */
+/**
+ * Writes answers of control's APIs and of a sidecar's registration API.
+ *
+ * For: their handlers. Owns: the headers that go with each form of answer. Relies on: `api-problem.ts` for what is said.
+ */
 import type { ServerResponse } from 'node:http';
 import type { ApiProblem } from './api-problem.js';
 
 const JSON_TYPE = 'application/json';
 const PROBLEM_TYPE = 'application/problem+json';
+/** When an operator's client may ask again while there is no leader, in seconds. Not measured. */
+const NO_QUORUM_RETRY_AFTER_SECONDS = '1';
 
 /** Writes a JSON answer. */
 export function writeJson(
@@ -34,7 +40,7 @@
   const text = JSON.stringify(body);
   const headers: Record<string, string> = { 'Content-Type': PROBLEM_TYPE };
   if (type === 'unauthenticated') headers['WWW-Authenticate'] = 'Bearer';
-  if (type === 'no-quorum') headers['Retry-After'] = '1';
+  if (type === 'no-quorum') headers['Retry-After'] = NO_QUORUM_RETRY_AFTER_SECONDS;
   response.writeHead(problem.status, { ...headers, 'Content-Length': Buffer.byteLength(text) });
   response.end(text);
 }
--- a/src/http/caller-response.ts
+++ b/src/http/caller-response.ts
@@ -1,6 +1,8 @@
 /**
- * The response to one caller: an answer passed on as it arrives, or a refusal. Exactly one of the
- * two is written, and a late answer goes nowhere.
+ * Writes a refusal to a caller, unless an answer has begun.
+ *
+ * For: edges, nodes and the ingress of a sidecar. Owns: the headers of a refusal. Relies on:
+ * `src/call/refusal.ts` for status and text, and on whoever refuses for `Retry-After`.
  */
 import type { ServerResponse } from 'node:http';
 import { refusalStatus, toProblemDetails, type Refusal } from '../call/refusal.js';
@@ -9,7 +11,10 @@
 
 const PROBLEM_TYPE = 'application/problem+json';
 
-/** Writes a refusal as Problem Details (RFC 9457) with `Retry-After` where that helps. */
+/**
+ * Writes a refusal as Problem Details (RFC 9457) with `Retry-After` where that helps. Where an answer has begun, the
+ * connection is ended instead, so that its receiver does not take the part for the whole.
+ */
 export function writeRefusal(
   response: ServerResponse,
   refusal: Refusal,
--- a/src/http/connection-pools.ts
+++ b/src/http/connection-pools.ts
@@ -1,7 +1,14 @@
-/** Undici connection pools by origin, made when first used and closed when no longer listed. */
+/**
+ * Undici connection pools by origin, made when first used and closed when no longer listed.
+ *
+ * For: edges and nodes, for calls and claims to other nodes. Owns: the pools. Relies on: whoever sends for every time
+ * limit but that of making a connection, and on its follower to say which origins are listed.
+ */
 import { Pool, type buildConnector, type Dispatcher } from 'undici';
 
+/** Longest time for a connection to be made, in milliseconds. Not measured. */
 export const CONNECT_TIMEOUT_MS = 1_000;
+/** Idle connections are closed after this long, in milliseconds: before our own servers close them, after 30 s. */
 const KEEP_ALIVE_MS = 10_000;
 
 /** Options of every pool of a {@link ConnectionPools}. */
@@ -14,7 +21,7 @@
   readonly connector?: buildConnector.connector;
 }
 
-/** A pool to one origin. Deadlines are the call modules' business, so undici's own are off. */
+/** A pool to one origin. Each call has its own deadline, so undici's time limits are off. */
 export function createPool(origin: string, options: PoolOptions): Pool {
   return new Pool(origin, {
     connections: options.connections,
--- a/src/http/header-filter.ts
+++ b/src/http/header-filter.ts
@@ -1,11 +1,15 @@
 /**
- * Which headers a proxy passes on. Hop-by-hop headers stay behind (RFC 9110, section 7.6.1), and so
- * do shoredoor's own headers, which are only believed between its processes.
+ * Which headers a proxy passes on. Hop-by-hop headers stay behind (RFC 9110, section 7.6.1), and so do shoredoor's own
+ * headers, which are only believed between its processes.
+ *
+ * For: every transport and relay. Owns: the list of hop-by-hop headers and the prefix of our own. Relies on: its caller to
+ * name the headers that it sets itself. Pure.
  */
 
 /** Header names and values alternating, as in `IncomingMessage.rawHeaders`. */
 export type RawHeaders = string[];
 
+/** RFC 9110, section 7.6.1, and the older names that proxies still see; in lower case. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -18,6 +22,7 @@
   'upgrade',
 ]);
 
+/** Every header of our own begins like this; see docs/reference/headers.md. */
 const OWN_PREFIX = 'shoredoor-';
 
 /** The value of a header in a raw list; the first where it stands several times. */
--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -1,6 +1,8 @@
 /**
- * The body of a caller's request. Small bodies are read whole before the call is sent, so that a
- * slow sender holds no slot and the call can be sent again; larger ones are streamed.
+ * The body of a caller's request. Small bodies are read whole before the call is sent, so that a slow sender holds no slot
+ * and the call can be sent again; larger ones are streamed.
+ *
+ * For: every server. Owns: what was read until the body is handed on. Relies on: the limits that its server gives it.
  */
 import { Readable } from 'node:stream';
 import type { IncomingMessage } from 'node:http';
@@ -15,6 +17,7 @@
   readonly timeoutMs: number;
 }
 
+/** Limits of a server; settings replace the largest size alone. None of the figures is measured. */
 export const DEFAULT_BODY_LIMITS: BodyLimits = {
   bufferBytes: 64 * 1024,
   maxBytes: 64 * 1024 * 1024,
@@ -27,13 +30,14 @@
   readonly content: Buffer | Readable | null;
   /** The whole body, or the part of a streamed one that is held in memory; null for none. */
   readonly start: Buffer | null;
+  /** Whether the body can be sent again from its start. */
   readonly replayable: boolean;
 }
 
 /** Why a body was not taken. */
 export type BodyFault = 'too-large' | 'request-timeout' | 'caller-gone';
 
-/** Hears either a body or a fault. */
+/** Called with either a body or a fault. */
 export type BodyCallback = (body: RequestBody | undefined, fault: BodyFault | undefined) => void;
 
 const NO_BODY: RequestBody = { content: null, start: null, replayable: true };
--- a/src/http/reset-watch.ts
+++ b/src/http/reset-watch.ts
@@ -1,6 +1,9 @@
 /**
- * Tells answers that end with their connection from those whose connection was reset. Undici takes
- * both for complete; an answer without a length that ends in a reset is not (RFC 9112, section 8).
+ * Tells answers that end with their connection from those whose connection was reset. Undici takes both for complete; an
+ * answer without a length that ends in a reset is not (RFC 9112, section 8).
+ *
+ * For: `instance-pool.ts`. Owns: whether a connection of its pools is being reset in this turn of the event loop. Relies
+ * on: its error listener running before undici's, and undici ending the answer in the same turn.
  */
 import { buildConnector } from 'undici';
 
--- a/src/http/target-headers.ts
+++ b/src/http/target-headers.ts
@@ -1,6 +1,8 @@
 /**
- * The headers between a sidecar, its clients and its target. Every deployment may have names of its
- * own for them.
+ * The headers between a sidecar, its clients and its target. Every deployment may have names of its own for them.
+ *
+ * For: the ingress, the gate and the probe of a target. Owns: the default names, and how an answer's head is judged.
+ * Relies on: targets that repeat the request's id in their answers. Pure.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { AnswerFault } from '../call/transport.js';
@@ -39,7 +41,9 @@
   group: 'x-caller-group',
 };
 
+/** A target answers with it when another instance was meant. */
 const STATUS_MISDIRECTED = 421;
+/** The one content encoding of an answer that passes for the target's own. */
 const IDENTITY_ENCODING = 'identity';
 
 /** One value of a header; the first where it stands several times. */
--- a/src/http/target-pool.ts
+++ b/src/http/target-pool.ts
@@ -1,4 +1,9 @@
-/** The node's connections to its target, at most as many as the service declares. */
+/**
+ * The node's connections to its target, at most as many as the service declares.
+ *
+ * For: the inbound side of a node; sidecars use `src/membership/instance-pool.ts`, which tells incarnations of a target
+ * apart. Owns: the pool in use. Relies on: undici to let calls under way finish on a pool that is closed.
+ */
 import type { Dispatcher, Pool } from 'undici';
 import { createPool } from './connection-pools.js';
 
