--- a/src/membership/incarnation.ts
+++ b/src/membership/incarnation.ts
@@ -1,4 +1,9 @@
-/** One start of a target. A target may start again under the id that it had; it then knows nothing of before. */
+/**
+ * One start of a target. A target may start again under the id that it had; it then knows nothing of before.
+ *
+ * For: the lease of a target, its connections, and the gate, which tell starts apart. Owns: how two starts are compared.
+ * Relies on: what targets say of themselves. Pure.
+ */
 
 /** What tells the starts of targets apart. */
 export interface Incarnation {
--- a/src/membership/instance-pool.ts
+++ b/src/membership/instance-pool.ts
@@ -1,4 +1,9 @@
-/** A sidecar's connections to the present incarnation of its target; a new one gets new ones. */
+/**
+ * A sidecar's connections to the present incarnation of its target; a new one gets new ones.
+ *
+ * For: the gate. Owns: the pool in use, and how long this incarnation usually takes to begin an answer. Relies on:
+ * `target-lease.ts` for which incarnation that is, and on the gate to tell of requests that it gave up.
+ */
 import type { Dispatcher, Pool } from 'undici';
 import type { Clock } from '../common/clock.js';
 import { incarnationName } from './incarnation.js';
@@ -7,10 +12,14 @@
 import { AnswerTimes } from '../http/answer-times.js';
 import { ResetWatch } from '../http/reset-watch.js';
 
-/** Idle connections are given up before targets that say nothing of their own limit close them. */
+/**
+ * Idle connections are closed after this long, in milliseconds: before targets that say nothing of their own limit close
+ * them. Below the 5 s that HTTP servers of Node.js keep them by default; not measured.
+ */
 const IDLE_MS = 4_000;
+/** Most connections to a target until the service's declaration is known. Not measured. */
 const DEFAULT_CONNECTIONS = 100;
-/** Connections are exchanged no more often than this, in milliseconds: a target may just be slow. */
+/** Least time from one exchange of connections to the next, in milliseconds: a target may just be slow. Not measured. */
 const MIN_EXCHANGE_GAP_MS = 2_000;
 
 /** Where the next call goes. */
@@ -33,6 +42,7 @@
   private connections = DEFAULT_CONNECTIONS;
   private readonly resets = new ResetWatch(CONNECT_TIMEOUT_MS);
   private answerTimes = new AnswerTimes();
+  /** When idle connections were last given up, on the clock, in milliseconds. */
   private exchangedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
@@ -75,8 +85,8 @@
    */
   private onUnanswered(report: TargetReport, waitedMs: number): void {
     const now = this.clock.now();
-    if (incarnationName(report) !== this.incarnation || !this.answerTimes.isSuspicious(waitedMs))
-      return;
+    if (incarnationName(report) !== this.incarnation) return;
+    if (!this.answerTimes.isSuspicious(waitedMs)) return;
     if (now - this.exchangedAt < MIN_EXCHANGE_GAP_MS) return;
     this.exchangedAt = now;
     this.open(report);
--- a/src/membership/port-probe.ts
+++ b/src/membership/port-probe.ts
@@ -1,7 +1,12 @@
-/** Asks whether a process listens at an address, by opening a connection and closing it. */
+/**
+ * Asks whether a process listens at an address, by opening a connection and closing it.
+ *
+ * For: the watch for crashes, which asks what became of an incarnation. Owns: nothing beyond one connection.
+ * Relies on: the system to refuse connections to a port that no process has.
+ */
 import { connect } from 'node:net';
 
-/** Longest wait for an answer, in milliseconds: the target is on the same machine. */
+/** Longest wait for an answer, in milliseconds: the target is on the same machine. Not measured. */
 const TIMEOUT_MS = 300;
 
 /**
--- a/src/membership/registration-api.ts
+++ b/src/membership/registration-api.ts
@@ -1,6 +1,9 @@
 /**
- * Where a target reports itself to the sidecar of its machine: `PUT /v1/instances/{id}` with its
- * state, now and then, and `DELETE /v1/instances/{id}` when it is gone.
+ * Where a target reports itself to the sidecar of its machine: `PUT /v1/instances/{id}` with its state, now and then, and
+ * `DELETE /v1/instances/{id}` when it is gone.
+ *
+ * For: targets. Owns: the schema of a report. Relies on: `target-lease.ts` to judge reports that are late or of another
+ * incarnation.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
@@ -12,6 +15,7 @@
 import type { TargetLease } from './target-lease.js';
 
 const INSTANCE_PATH = /^\/v1\/instances\/([^/?]+)$/;
+/** Largest report that is taken, in bytes. Not measured. */
 const MAX_BODY_BYTES = 16 * 1024;
 
 /** Milliseconds since 1970 at which the target started. */
@@ -93,6 +97,7 @@
     this.logger.info('The target says that it is gone.', leaving);
     writeJson(response, 200, {});
   }
+
   /** The parsed body; undefined where it can't be read. */
   private async valueOf(message: IncomingMessage): Promise<unknown> {
     const body = await readJsonBody(message, MAX_BODY_BYTES);
--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -1,6 +1,26 @@
 /**
- * What a sidecar knows of its target, from the reports that the target sends. Reports may come late
- * and out of order, also those of an earlier incarnation. Pure.
+ * What a sidecar knows of its target, from the reports that the target sends. Reports may come late and out of order, also
+ * those of an earlier incarnation. Pure.
+ *
+ * A report renews the lease of its incarnation, or takes it over from the one that holds it. The first row that fits
+ * decides:
+ *
+ * | report                                                          | what becomes of it                              |
+ * | --------------------------------------------------------------- | ----------------------------------------------- |
+ * | of an incarnation that has ended: it left, or was not found     | dropped                                         |
+ * | of one that refused connections, no newer than its last report  | dropped                                         |
+ * | there is no holder                                              | becomes the holder                              |
+ * | of the holder, older than its last one                          | dropped                                         |
+ * | of the holder                                                   | renews; a holder that leaves stays leaving      |
+ * | of one that was replaced, while the holder's lease runs         | dropped                                         |
+ * | the holder leaves, or its lease has run out                     | takes over                                      |
+ * | says that it started later than the holder                      | takes over                                      |
+ * | the second in order, {@link MIN_REPORT_GAP_MS} after the first, | takes over                                      |
+ * | with none of the holder between them                            |                                                 |
+ * | any other                                                       | waits for a second one                          |
+ *
+ * For: the wiring of a sidecar, its gate and its watch for crashes. Owns: the holder, and the incarnations that are over.
+ * Relies on: the clock of its own machine alone; a start time is compared with another of the same machine.
  */
 import type { Clock } from '../common/clock.js';
 import {
@@ -27,6 +47,7 @@
 /** The incarnation that is in use. */
 interface HeldLease {
   readonly report: TargetReport;
+  /** When the report came, on the clock, in milliseconds. */
   readonly heardAt: number;
 }
 
@@ -38,10 +59,16 @@
   readonly heardAt: number;
 }
 
-/** Reports that were held up arrive together; those of a target that runs come this far apart, in milliseconds. */
+/**
+ * Reports that were held up arrive together; those of a target that runs come at least this far apart, in milliseconds.
+ * Not measured.
+ */
 const MIN_REPORT_GAP_MS = 300;
 
-/** Incarnations that are remembered once they have left or been replaced, so that late reports are known. */
+/**
+ * Most incarnations that are remembered once they have left, been replaced or refused connections, of each of these, so
+ * that late reports are known. Bounds memory; not measured.
+ */
 const MAX_REMEMBERED = 100;
 
 export class TargetLease {
@@ -55,7 +82,7 @@
   private readonly down = new Map<string, number>();
 
   /**
-   * @param silentMs a target that was not heard of for this long is not used
+   * @param silentMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
    * @param onChange called when the target, its state or its slots may have changed
    */
   constructor(
@@ -64,7 +91,7 @@
     private readonly onChange: () => void,
   ) {}
 
-  /** The incarnation in use, whatever its state; undefined when none was heard of lately. */
+  /** The incarnation in use, whatever its state; undefined when none has a lease that runs. */
   get current(): TargetReport | undefined {
     const { held } = this;
     if (held === undefined || this.clock.now() - held.heardAt >= this.silentMs) return undefined;
--- a/src/membership/target-probe.ts
+++ b/src/membership/target-probe.ts
@@ -1,6 +1,9 @@
 /**
- * Asks the target of a machine for its health once a restarted sidecar knows where: targets report
- * themselves only now and then, and until the next report a sound target would stand idle.
+ * Asks the target of a machine for its health once a restarted sidecar knows where: targets report themselves only now and
+ * then, and until the next report a sound target would stand idle.
+ *
+ * For: the wiring of a sidecar, which asks once, if no report has come. Owns: the time limit of the probe. Relies on: a
+ * target that names itself and its slots in the answer's headers, and on the sidecar to log what was found.
  */
 import { request } from 'undici';
 import { headerValue, type TargetHeaders } from '../http/target-headers.js';
@@ -16,7 +19,7 @@
 }
 
 const STATUS_OK = 200;
-/** A probe waits for a slot like a request, so a busy target needs some time. */
+/** A probe waits for a slot like a request, so a busy target needs some time. Not measured. */
 const TIMEOUT_MS = 1_000;
 /** Fields of the load that a target tells: running, waiting, slots. */
 const LOAD_FIELDS = 3;
@@ -42,6 +45,7 @@
     if (instance === undefined || slots === undefined) return undefined;
     return { instance, service, address, slots, state: 'ready', sequence: 0, coldRemainingMs: 0 };
   } catch {
+    // No answer in time, or no connection: the sidecar logs that none was found, and waits for the target's own report.
     return undefined;
   }
 }
