--- a/src/http/link-messages.ts
+++ b/src/http/link-messages.ts
@@ -4,10 +4,10 @@
  * For: control, followers and the claims of nodes; calls between sidecars go over `src/link`. Owns: how a message is sent,
  * read and answered. Relies on: the message codec, and on each kind of message for its limits and its token's header.
  */
-import { timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { request, type Dispatcher } from 'undici';
 import { decodeMessage, encodeMessage, MSGPACK_TYPE } from '../common/message-codec.js';
+import { isSameToken } from './link-token.js';
 import { readRequestBody, type BodyLimits } from './request-body.js';
 
 /** How a message is sent. */
@@ -60,9 +60,7 @@
 
 /** Whether a request carries the deployment's link token as bearer token. */
 export function isLinkRequest(message: IncomingMessage, linkToken: string): boolean {
-  const presented = Buffer.from(message.headers.authorization ?? '');
-  const expected = Buffer.from(`Bearer ${linkToken}`);
-  return presented.length === expected.length && timingSafeEqual(presented, expected);
+  return isSameToken(message.headers.authorization ?? '', `Bearer ${linkToken}`);
 }
 
 /** Reads a whole msgpack body; undefined when it was not taken or can't be decoded. */
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -28,9 +28,8 @@
   ): Promise<LinkServer> {
     const server = createServer();
     const started = new LinkServer(server, await listen(server, address));
-    const expected = Buffer.from(token);
     server.on('connection', (socket) => {
-      const link: ServerLink = new ServerLink(socket, started.watch, expected, handler, () =>
+      const link: ServerLink = new ServerLink(socket, started.watch, token, handler, () =>
         started.links.delete(link),
       );
       started.links.add(link);
--- a/src/link/server-link.ts
+++ b/src/link/server-link.ts
@@ -2,10 +2,10 @@
  * One connection from another sidecar, at its called side.
  *
  * For: `link-server.ts`. Owns: whether the peer has shown the link token, and the calls under way. Relies on: the peer's
- * first frame to carry the token; a connection that sends anything else first is closed.
+ * first frame to carry the token; any other frame before it, heartbeats excepted, closes the connection.
  */
-import { timingSafeEqual } from 'node:crypto';
 import type { Socket } from 'node:net';
+import { isSameToken } from '../http/link-token.js';
 import { CallsUnderWay } from './calls-under-way.js';
 import { IncomingLinkCall, type LinkCallHandler } from './incoming-link-call.js';
 import { LinkConnection, type PendingFrame } from './link-connection.js';
@@ -20,7 +20,7 @@
   constructor(
     socket: Socket,
     watch: PeerWatch,
-    private readonly token: Buffer,
+    private readonly token: string,
     private readonly handler: LinkCallHandler,
     onClosed: () => void,
   ) {
@@ -57,7 +57,7 @@
 
   private onFrame(frame: LinkFrame): void {
     if (frame.type === 'pong') return;
-    if (frame.type === 'hello') this.isTrusted = this.isToken(frame.token);
+    if (frame.type === 'hello') this.isTrusted = isSameToken(frame.token, this.token);
     if (!this.isTrusted) {
       this.connection.close();
       return;
@@ -68,9 +68,4 @@
       this.handler(call);
     } else if ('id' in frame) this.calls.get(frame.id)?.onFrame(frame);
   }
-
-  private isToken(presented: string): boolean {
-    const bytes = Buffer.from(presented);
-    return bytes.length === this.token.length && timingSafeEqual(bytes, this.token);
-  }
 }
