--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -4,8 +4,10 @@
  *
  * For: every server. Owns: what was read until the body is handed on. Relies on: the limits that its server gives it.
  */
+import { once } from 'node:events';
 import { Readable } from 'node:stream';
 import type { IncomingMessage } from 'node:http';
+import { ShoredoorError } from '../common/errors.js';
 
 /** Limits on request bodies. */
 export interface BodyLimits {
@@ -109,6 +111,17 @@
     this.callback(body, fault);
   }
 
+  /**
+   * Ends the caller's connection. Resolves when the caller counts as gone, so that what follows is laid on the caller: an
+   * attempt that fails before that counts against its target.
+   */
+  private async endConnection(): Promise<void> {
+    const { socket } = this.message;
+    const closed = socket.closed ? undefined : once(socket, 'close');
+    this.message.destroy();
+    await closed;
+  }
+
   /** What was held and then the rest as it arrives; fails when the body grows too large. */
   private async *remaining(): AsyncGenerator<Buffer> {
     yield* this.chunks;
@@ -116,8 +129,8 @@
     for await (const chunk of this.message as AsyncIterable<Buffer>) {
       total += chunk.length;
       if (total > this.limits.maxBytes) {
-        this.message.destroy();
-        return;
+        await this.endConnection();
+        throw new ShoredoorError('the body is larger than allowed');
       }
       yield chunk;
     }
