--- a/src/http/relayed-request.ts
+++ b/src/http/relayed-request.ts
@@ -20,7 +20,7 @@
 }
 
 /** What is sent on, and with which headers. */
-export interface RelayedRequest {
+interface RelayedRequest {
   readonly message: IncomingMessage;
   readonly body: RequestBody;
   readonly headers: RawHeaders;
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -31,11 +31,11 @@
   private flushScheduled = false;
   /** What still has a frame to send at the end of this turn. */
   private pending: PendingFrame[] = [];
-  heardAt = SYSTEM_CLOCK.now();
+  silentSince = SYSTEM_CLOCK.now();
   pingedAt = -Infinity;
   isSuspect = false;
   /** Monotonic milliseconds at which anything last arrived, or the connection was made. */
-  arrivedAt = SYSTEM_CLOCK.now();
+  lastReceivedAt = SYSTEM_CLOCK.now();
   private closed = false;
 
   constructor(
@@ -106,8 +106,8 @@
   }
 
   private onData(bytes: Buffer): void {
-    this.arrivedAt = SYSTEM_CLOCK.now();
-    this.heardAt = this.arrivedAt;
+    this.lastReceivedAt = SYSTEM_CLOCK.now();
+    this.silentSince = this.lastReceivedAt;
     this.isSuspect = false;
     let frames: LinkFrame[];
     try {
--- a/src/link/link-stream.ts
+++ b/src/link/link-stream.ts
@@ -63,7 +63,7 @@
     readonly listener: LinkCallListener,
   ) {}
 
-  /** Stops the call. The listener hears nothing more. */
+  /** Stops the call. The listener is not called any more. */
   cancel(): void {
     if (this.link.release(this.id)) this.link.withdraw(this.id);
   }
--- a/src/link/peer-link.ts
+++ b/src/link/peer-link.ts
@@ -129,7 +129,7 @@
   }
 
   private probeIfStale(): void {
-    if (SYSTEM_CLOCK.now() - this.connection.arrivedAt < PROBE_AFTER_MS) return;
+    if (SYSTEM_CLOCK.now() - this.connection.lastReceivedAt < PROBE_AFTER_MS) return;
     this.state = 'probing';
     this.connection.ping();
     // What arrived while this process stood still is read before the peer is given up.
--- a/src/link/peer-watch.ts
+++ b/src/link/peer-watch.ts
@@ -15,8 +15,8 @@
 
 /** A connection whose peer is watched while calls are under way. */
 export interface WatchedPeer {
-  /** Monotonic milliseconds at which anything last arrived from the peer, or its connection became busy. */
-  heardAt: number;
+  /** Monotonic milliseconds since which the peer is silent: anything last arrived, or its connection became busy. */
+  silentSince: number;
   /** Monotonic milliseconds at which it was last asked for a sign of life. */
   pingedAt: number;
   /** Whether the peer has been silent for so long that it is to get no new calls. */
@@ -58,7 +58,7 @@
   /** Watches a peer from now on. */
   add(peer: WatchedPeer): void {
     if (this.peers.has(peer)) return;
-    peer.heardAt = SYSTEM_CLOCK.now();
+    peer.silentSince = SYSTEM_CLOCK.now();
     this.peers.add(peer);
     if (this.timer !== undefined) return;
     this.checkedAt = SYSTEM_CLOCK.now();
@@ -79,8 +79,8 @@
     const stoodStill = now - this.checkedAt > LATE_CHECK_MS;
     this.checkedAt = now;
     for (const peer of [...this.peers]) {
-      if (stoodStill) peer.heardAt = now;
-      const silentMs = now - peer.heardAt;
+      if (stoodStill) peer.silentSince = now;
+      const silentMs = now - peer.silentSince;
       peer.isSuspect = silentMs >= SUSPECT_AFTER_MS;
       if (silentMs >= GIVE_UP_AFTER_MS) peer.close();
       else if (silentMs >= PING_AFTER_MS && now - peer.pingedAt >= PING_GAP_MS) {
--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -48,7 +48,7 @@
 interface HeldLease {
   readonly report: TargetReport;
   /** When the report came, on the clock, in milliseconds. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /** A report of another incarnation that has not taken over yet. */
@@ -56,7 +56,7 @@
   /** Name of the incarnation. */
   readonly name: string;
   readonly sequence: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
 /**
@@ -82,19 +82,19 @@
   private readonly down = new Map<string, number>();
 
   /**
-   * @param silentMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
+   * @param leaseMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
    * @param onChange called when the target, its state or its slots may have changed
    */
   constructor(
     private readonly clock: Clock,
-    private readonly silentMs: number,
+    private readonly leaseMs: number,
     private readonly onChange: () => void,
   ) {}
 
   /** The incarnation in use, whatever its state; undefined when none has a lease that runs. */
   get current(): TargetReport | undefined {
     const { held } = this;
-    if (held === undefined || this.clock.now() - held.heardAt >= this.silentMs) return undefined;
+    if (held === undefined || this.clock.now() - held.receivedAt >= this.leaseMs) return undefined;
     return held.report;
   }
 
@@ -165,26 +165,26 @@
     // A target that leaves does not come back as the same incarnation.
     const state = before?.state === 'leaving' ? 'leaving' : report.state;
     const born = report.born ?? before?.born;
-    this.held = { report: { ...report, state, born }, heardAt: this.clock.now() };
+    this.held = { report: { ...report, state, born }, receivedAt: this.clock.now() };
     this.candidate = undefined;
     this.onChange();
   }
 
   /**
    * Another incarnation takes over from one that has ended or fallen silent, if it says that it started later, or once it
-   * has reported twice in order, some time apart, since the present one was last heard: other reports may be late ones.
+   * has reported twice in order, some time apart, since the last report of the present one: other reports may be late ones.
    */
   private mayTakeOver(held: HeldLease, report: TargetReport): boolean {
     if (held.report.state === 'leaving' || this.current === undefined) return true;
     if (startedLater(report, held.report)) return true;
     const { candidate } = this;
-    const heardAt = this.clock.now();
+    const receivedAt = this.clock.now();
     const name = incarnationName(report);
     if (candidate?.name !== name) {
-      this.candidate = { name, sequence: report.sequence, heardAt };
+      this.candidate = { name, sequence: report.sequence, receivedAt };
       return false;
     }
-    const isApart = heardAt - candidate.heardAt >= MIN_REPORT_GAP_MS;
+    const isApart = receivedAt - candidate.receivedAt >= MIN_REPORT_GAP_MS;
     return isApart && report.sequence > candidate.sequence;
   }
 
