--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -1,6 +1,26 @@
 /**
- * What a sidecar knows of its target, from the reports that the target sends. Reports may come late
- * and out of order, also those of an earlier incarnation. Pure.
+ * What a sidecar knows of its target, from the reports that the target sends. Reports may come late and out of order, also
+ * those of an earlier incarnation. Pure.
+ *
+ * A report renews the lease of its incarnation, or takes it over from the one that holds it. The first row that fits
+ * decides:
+ *
+ * | report                                                          | what becomes of it                              |
+ * | --------------------------------------------------------------- | ----------------------------------------------- |
+ * | of an incarnation that has ended: it left, or was not found     | dropped                                         |
+ * | of one that refused connections, no newer than its last report  | dropped                                         |
+ * | there is no holder                                              | becomes the holder                              |
+ * | of the holder, older than its last one                          | dropped                                         |
+ * | of the holder                                                   | renews; a holder that leaves stays leaving      |
+ * | of one that was replaced, while the holder's lease runs         | dropped                                         |
+ * | the holder leaves, or its lease has run out                     | takes over                                      |
+ * | says that it started later than the holder                      | takes over                                      |
+ * | the second in order, {@link MIN_REPORT_GAP_MS} after the first, | takes over                                      |
+ * | with none of the holder between them                            |                                                 |
+ * | any other                                                       | waits for a second one                          |
+ *
+ * For: the wiring of a sidecar, its gate and its watch for crashes. Owns: the holder, and the incarnations that are over.
+ * Relies on: the clock of its own machine alone; a start time is compared with another of the same machine.
  */
 import type { Clock } from '../common/clock.js';
 import {
@@ -27,7 +47,8 @@
 /** The incarnation that is in use. */
 interface HeldLease {
   readonly report: TargetReport;
-  readonly heardAt: number;
+  /** When the report came, on the clock, in milliseconds. */
+  readonly receivedAt: number;
 }
 
 /** A report of another incarnation that has not taken over yet. */
@@ -35,13 +56,19 @@
   /** Name of the incarnation. */
   readonly name: string;
   readonly sequence: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** Reports that were held up arrive together; those of a target that runs come this far apart, in milliseconds. */
+/**
+ * Reports that were held up arrive together; those of a target that runs come at least this far apart, in milliseconds.
+ * Not measured.
+ */
 const MIN_REPORT_GAP_MS = 300;
 
-/** Incarnations that are remembered once they have left or been replaced, so that late reports are known. */
+/**
+ * Most incarnations that are remembered once they have left, been replaced or refused connections, of each of these, so
+ * that late reports are known. Bounds memory; not measured.
+ */
 const MAX_REMEMBERED = 100;
 
 export class TargetLease {
@@ -55,19 +82,19 @@
   private readonly down = new Map<string, number>();
 
   /**
-   * @param silentMs a target that was not heard of for this long is not used
+   * @param leaseMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
    * @param onChange called when the target, its state or its slots may have changed
    */
   constructor(
     private readonly clock: Clock,
-    private readonly silentMs: number,
+    private readonly leaseMs: number,
     private readonly onChange: () => void,
   ) {}
 
-  /** The incarnation in use, whatever its state; undefined when none was heard of lately. */
+  /** The incarnation in use, whatever its state; undefined when none has a lease that runs. */
   get current(): TargetReport | undefined {
     const { held } = this;
-    if (held === undefined || this.clock.now() - held.heardAt >= this.silentMs) return undefined;
+    if (held === undefined || this.clock.now() - held.receivedAt >= this.leaseMs) return undefined;
     return held.report;
   }
 
@@ -138,26 +165,26 @@
     // A target that leaves does not come back as the same incarnation.
     const state = before?.state === 'leaving' ? 'leaving' : report.state;
     const born = report.born ?? before?.born;
-    this.held = { report: { ...report, state, born }, heardAt: this.clock.now() };
+    this.held = { report: { ...report, state, born }, receivedAt: this.clock.now() };
     this.candidate = undefined;
     this.onChange();
   }
 
   /**
    * Another incarnation takes over from one that has ended or fallen silent, if it says that it started later, or once it
-   * has reported twice in order, some time apart, since the present one was last heard: other reports may be late ones.
+   * has reported twice in order, some time apart, since the last report of the present one: other reports may be late ones.
    */
   private mayTakeOver(held: HeldLease, report: TargetReport): boolean {
     if (held.report.state === 'leaving' || this.current === undefined) return true;
     if (startedLater(report, held.report)) return true;
     const { candidate } = this;
-    const heardAt = this.clock.now();
+    const receivedAt = this.clock.now();
     const name = incarnationName(report);
     if (candidate?.name !== name) {
-      this.candidate = { name, sequence: report.sequence, heardAt };
+      this.candidate = { name, sequence: report.sequence, receivedAt };
       return false;
     }
-    const isApart = heardAt - candidate.heardAt >= MIN_REPORT_GAP_MS;
+    const isApart = receivedAt - candidate.receivedAt >= MIN_REPORT_GAP_MS;
     return isApart && report.sequence > candidate.sequence;
   }
 
