--- a/src/admission/kind-impact.ts
+++ b/src/admission/kind-impact.ts
@@ -10,6 +10,7 @@
  */
 import { BoundedMap } from '../common/bounded-map.js';
 import type { Clock } from '../common/clock.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Weight of one answer in the recent mean: it follows some twenty answers. Not measured. */
 const WEIGHT = 0.05;
@@ -32,7 +33,6 @@
 const FULL_RATIO = 1.5;
 /** Kinds that are remembered; routes come and go with the configuration. Bounds memory; not measured. */
 const MAX_KINDS = 1_000;
-const FIRST_SERVER_ERROR = 500;
 /** Part of the downstream calls up to which they count as not congested: chance waits. Not measured. */
 const CALM_LEVEL = 0.05;
 
@@ -63,7 +63,7 @@
    */
   onAnswer(kind: string, heldMs: number, status: number, calm = true): void {
     const times = this.times(kind, heldMs);
-    const failedMs = status >= FIRST_SERVER_ERROR ? FAILED_RATIO * times.usualMs : 0;
+    const failedMs = status >= HttpStatus.InternalServerError ? FAILED_RATIO * times.usualMs : 0;
     const sampleMs = Math.max(failedMs, Math.min(heldMs, MAX_RATIO * times.usualMs));
     times.answers += 1;
     const weight = Math.max(WEIGHT, 1 / times.answers);
--- a/src/cli/apply-command.ts
+++ b/src/cli/apply-command.ts
@@ -9,13 +9,12 @@
   exitCodeOf,
   failedResult,
   printReports,
-  STATUS_CREATED,
-  STATUS_OK,
   type ChangeReport,
 } from './change-report.js';
 import { createClient, readOutput, type FileOptions } from './command-options.js';
 import type { ExitCode } from './exit-codes.js';
 import { readDeclarations } from './resource-files.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Options of `apply`. */
 export interface ApplyOptions extends FileOptions {
@@ -57,8 +56,8 @@
   const { kind, name } = resource;
   const body = answer.body as { type?: string } | undefined;
   let result: ChangeReport['result'];
-  if (answer.status === STATUS_CREATED) result = 'created';
-  else if (answer.status === STATUS_OK) {
+  if (answer.status === HttpStatus.Created) result = 'created';
+  else if (answer.status === HttpStatus.Ok) {
     result = body?.type === 'unchanged' ? 'unchanged' : 'changed';
   } else result = failedResult(answer.status);
   return { kind, name, result, status: answer.status, detail: detailOf(answer) };
--- a/src/cli/change-report.ts
+++ b/src/cli/change-report.ts
@@ -2,11 +2,9 @@
 import type { ApiAnswer } from '../client/replica-requests.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { printResult, type OutputFormat } from './output.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Statuses of the resource API's answers to changes. */
-export const STATUS_OK = 200;
-export const STATUS_CREATED = 201;
-const STATUS_CONFLICT = 409;
 
 /** The answer for one resource. */
 export interface ChangeReport {
@@ -19,7 +17,7 @@
 
 /** The result of a change that did not take effect. */
 export function failedResult(status: number): 'conflict' | 'refused' {
-  return status === STATUS_CONFLICT ? 'conflict' : 'refused';
+  return status === HttpStatus.Conflict ? 'conflict' : 'refused';
 }
 
 /** The revision of a change, or what is wrong with it. */
--- a/src/cli/delete-command.ts
+++ b/src/cli/delete-command.ts
@@ -5,12 +5,12 @@
   exitCodeOf,
   failedResult,
   printReports,
-  STATUS_OK,
   type ChangeReport,
 } from './change-report.js';
 import { createClient, readOutput, type OperatorOptions } from './command-options.js';
 import type { ExitCode } from './exit-codes.js';
 import { parseResourceId } from './resource-id.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Options of `delete`. */
 export interface DeleteOptions extends OperatorOptions {
@@ -29,7 +29,7 @@
     changeId: options.changeId ?? randomUUID(),
     expect: options.ifVersion,
   });
-  const deleted = answer.status === STATUS_OK;
+  const deleted = answer.status === HttpStatus.Ok;
   const report: ChangeReport = {
     ...id,
     result: deleted ? 'deleted' : failedResult(answer.status),
--- a/src/client/replica-requests.ts
+++ b/src/client/replica-requests.ts
@@ -5,6 +5,7 @@
 import { request, type Dispatcher } from 'undici';
 import { RequestError, type RequestErrorProps } from '../common/errors.js';
 import type { WatchEvent } from '../sync/watch-event.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Where control is and who asks. */
 export interface ControlAccess {
@@ -38,10 +39,6 @@
 export const MAX_ROUNDS = 15;
 /** Pause between two rounds, in milliseconds. Not measured. */
 const ROUND_PAUSE_MS = 300;
-const STATUS_OK = 200;
-const STATUS_REDIRECT = 307;
-const STATUS_GONE = 410;
-const STATUS_UNAVAILABLE = 503;
 
 export class ReplicaRequests {
   constructor(private readonly access: ControlAccess) {}
@@ -57,7 +54,7 @@
       for (const origin of this.access.origins) {
         try {
           const answer = await this.sendFollowing(origin, message);
-          if (answer.status !== STATUS_UNAVAILABLE) return answer;
+          if (answer.status !== HttpStatus.ServiceUnavailable) return answer;
           lastAnswer = answer;
         } catch (error) {
           // Thrown after the last round: until then another replica may answer.
@@ -79,12 +76,12 @@
       headers: this.authorization(),
       bodyTimeout: this.timeoutMs,
     });
-    if (response.statusCode === STATUS_GONE) {
+    if (response.statusCode === HttpStatus.Gone) {
       await response.body.dump();
       yield { type: 'relist' };
       return;
     }
-    if (response.statusCode !== STATUS_OK) {
+    if (response.statusCode !== HttpStatus.Ok) {
       const body = parseBody(await response.body.text());
       expectOk({ status: response.statusCode, body });
     }
@@ -109,12 +106,12 @@
       });
       const text = await response.body.text();
       const location = response.headers.location;
-      if (response.statusCode !== STATUS_REDIRECT || typeof location !== 'string') {
+      if (response.statusCode !== HttpStatus.TemporaryRedirect || typeof location !== 'string') {
         return { status: response.statusCode, body: parseBody(text) };
       }
       url = location;
     }
-    return { status: STATUS_UNAVAILABLE, body: undefined };
+    return { status: HttpStatus.ServiceUnavailable, body: undefined };
   }
 
   private get timeoutMs(): number {
@@ -128,7 +125,7 @@
 
 /** The body of an answer with status 200. @throws RequestError for any other status */
 export function expectOk(answer: ApiAnswer): unknown {
-  if (answer.status === STATUS_OK) return answer.body;
+  if (answer.status === HttpStatus.Ok) return answer.body;
   throw new RequestError(`control answered ${answer.status}`, {
     props: { status: answer.status, verdict: 'not-run' },
   });
--- a/src/control/change-answer.ts
+++ b/src/control/change-answer.ts
@@ -9,9 +9,7 @@
 import type { StoredResource } from '../policy/stored-resource.js';
 import type { LogRefusal } from './command-log.js';
 import type { ResourceResult } from './commands.js';
-
-const STATUS_OK = 200;
-const STATUS_CREATED = 201;
+import { HttpStatus } from '../common/http-status.js';
 
 /** The entity tag of a resource at `version`. */
 export function entityTag(version: number): Record<string, string> {
@@ -27,7 +25,12 @@
   if (result.type === 'accepted' || result.type === 'unchanged') {
     const isCreated = result.type === 'accepted' && result.created;
     const headers = dryRun ? {} : entityTag(result.revision);
-    writeJson(response, isCreated ? STATUS_CREATED : STATUS_OK, { ...result, dryRun }, headers);
+    writeJson(
+      response,
+      isCreated ? HttpStatus.Created : HttpStatus.Ok,
+      { ...result, dryRun },
+      headers,
+    );
     return;
   }
   writeProblem(response, problemOf(result));
--- a/src/control/follower-api.ts
+++ b/src/control/follower-api.ts
@@ -22,6 +22,7 @@
 } from '../sync/sync-protocol.js';
 import { SyncPacker } from './sync-packer.js';
 import type { SyncResponder } from './sync-responder.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** What the API is made of. */
 export interface FollowerApiOptions {
@@ -40,10 +41,6 @@
 const BODY_LIMITS: BodyLimits = { bufferBytes: 64 * 1024, maxBytes: 64 * 1024, timeoutMs: 5_000 };
 /** Time between two checks of a held request that this replica still has a leader, in milliseconds. Not measured. */
 const HEALTH_CHECK_INTERVAL_MS = 2_000;
-const STATUS_UNAUTHORIZED = 401;
-const STATUS_BAD_REQUEST = 400;
-const STATUS_NOT_FOUND = 404;
-const STATUS_UNAVAILABLE = 503;
 
 export class FollowerApi {
   private readonly packer: SyncPacker;
@@ -55,18 +52,18 @@
   /** Handles a request whose path starts with `/internal/`. */
   async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!isLinkRequest(message, this.options.linkToken)) {
-      writeStatus(response, STATUS_UNAUTHORIZED);
+      writeStatus(response, HttpStatus.Unauthorized);
       return;
     }
     if (message.url === HEARTBEAT_PATH) await this.heartbeat(message, response);
     else if (message.url === SYNC_PATH) await this.sync(message, response);
-    else writeStatus(response, STATUS_NOT_FOUND);
+    else writeStatus(response, HttpStatus.NotFound);
   }
 
   private async heartbeat(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const heartbeat = await readMessage<Heartbeat>(message, BODY_LIMITS);
     if (heartbeat === undefined) {
-      writeStatus(response, STATUS_BAD_REQUEST);
+      writeStatus(response, HttpStatus.BadRequest);
       return;
     }
     const { members, clock, store, notifier, log, responder, evidence, quotas } = this.options;
@@ -91,19 +88,19 @@
   private async sync(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const request = await readMessage<SyncRequest>(message, BODY_LIMITS);
     if (request === undefined) {
-      writeStatus(response, STATUS_BAD_REQUEST);
+      writeStatus(response, HttpStatus.BadRequest);
       return;
     }
     const { clock, log, notifier, responder } = this.options;
     if (responder.needsReadBarrier(request) && (await log.readBarrier()) !== undefined) {
-      writeStatus(response, STATUS_UNAVAILABLE);
+      writeStatus(response, HttpStatus.ServiceUnavailable);
       return;
     }
     const holdUntil = clock.now() + SYNC_HOLD_MS;
     while (!responder.hasNews(request) && clock.now() < holdUntil && !response.destroyed) {
       // A replica without a leader may never receive the next change: the follower asks another.
       if (log.status().problem !== undefined) {
-        writeStatus(response, STATUS_UNAVAILABLE);
+        writeStatus(response, HttpStatus.ServiceUnavailable);
         return;
       }
       await notifier.wait(Math.min(holdUntil - clock.now(), HEALTH_CHECK_INTERVAL_MS));
--- a/src/control/platform-list.ts
+++ b/src/control/platform-list.ts
@@ -6,6 +6,7 @@
 import { z } from 'zod';
 import type { Clock, Timer } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
+import { HttpStatus } from '../common/http-status.js';
 
 const listSchema = z.object({
   machines: z.array(
@@ -19,7 +20,6 @@
 
 /** Longest time for one reading, in milliseconds. Not measured. */
 const TIMEOUT_MS = 2_000;
-const STATUS_OK = 200;
 
 export interface PlatformListOptions {
   readonly clock: Clock;
@@ -61,7 +61,7 @@
 
 async function readLeavingAddresses(url: string): Promise<ReadonlySet<string>> {
   const response = await request(url, { signal: AbortSignal.timeout(TIMEOUT_MS) });
-  if (response.statusCode !== STATUS_OK) {
+  if (response.statusCode !== HttpStatus.Ok) {
     await response.body.dump();
     // Ends in the log line of the reader; nothing outside this module receives it.
     throw new Error(`status ${response.statusCode}`);
--- a/src/control/replication-link.ts
+++ b/src/control/replication-link.ts
@@ -8,6 +8,7 @@
 import type { ControlClient } from '../http/control-client.js';
 import type { BodyLimits } from '../http/request-body.js';
 import { isLinkRequest, readMessage, writeStatus } from '../http/link-messages.js';
+import { HttpStatus } from '../common/http-status.js';
 
 export const REPLICATION_PATH = '/internal/replication';
 
@@ -20,9 +21,6 @@
 };
 /** Messages to one replica that may be under way; a replica that does not answer gets no more. Not measured. */
 const MAX_UNDER_WAY = 16;
-const STATUS_NO_CONTENT = 204;
-const STATUS_BAD_REQUEST = 400;
-const STATUS_UNAUTHORIZED = 401;
 
 interface Envelope {
   /** Identity of the replica that is meant; empty for whoever runs there. */
@@ -61,15 +59,15 @@
 
   async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!isLinkRequest(message, this.linkToken)) {
-      writeStatus(response, STATUS_UNAUTHORIZED);
+      writeStatus(response, HttpStatus.Unauthorized);
       return;
     }
     const envelope = await readMessage<Envelope>(message, BODY_LIMITS);
     if (envelope === undefined) {
-      writeStatus(response, STATUS_BAD_REQUEST);
+      writeStatus(response, HttpStatus.BadRequest);
       return;
     }
-    writeStatus(response, STATUS_NO_CONTENT);
+    writeStatus(response, HttpStatus.NoContent);
     this.host.receive(envelope.to, envelope.message);
   }
 }
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -34,11 +34,7 @@
 import type { InboundListener, InboundResult, InboundServices } from './inbound-services.js';
 import { NestedTime } from './nested-time.js';
 import { isTargetFull } from './target-room.js';
-
-const STATUS_SERVER_ERROR = 500;
-const STATUS_SHEDDING = 503;
-/** Stands for a target that did not answer before the deadline (RFC 9110, section 15.6.5). */
-const STATUS_NO_ANSWER = 504;
+import { HttpStatus } from '../common/http-status.js';
 
 export class InboundCall {
   /** Retries that the calls made by the target share. */
@@ -134,7 +130,7 @@
     this.status = head.status;
     this.entry.claim?.onAnswered();
     this.learnFrom(head.status);
-    if (head.status === STATUS_SHEDDING && !this.report.nestedOverload) {
+    if (head.status === HttpStatus.ServiceUnavailable && !this.report.nestedOverload) {
       this.report.refusedForOverload = true;
       this.leave('dropped');
     }
@@ -163,7 +159,7 @@
   }
 
   private onEnd(): void {
-    this.run?.end(this.status < STATUS_SERVER_ERROR ? RunEnd.Answered : RunEnd.Failed);
+    this.run?.end(this.status < HttpStatus.InternalServerError ? RunEnd.Answered : RunEnd.Failed);
     this.leave('answered');
     this.finish({ type: 'relayed' });
   }
@@ -193,7 +189,8 @@
 
   private onDeadline(): void {
     if (this.finished) return;
-    if (!this.answerBegan) this.learnFrom(STATUS_NO_ANSWER);
+    // Learned like the status of a target that gives up waiting itself (RFC 9110, section 15.6.5).
+    if (!this.answerBegan) this.learnFrom(HttpStatus.GatewayTimeout);
     this.giveUp(deadlineRefusal);
   }
 
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -8,6 +8,7 @@
 import type { CallContext } from '../call/call-context.js';
 import type { KindRefusal } from './kind-refusal.js';
 import { isAboveTolerated, maxTimeInTargetMs } from './kind-tolerance.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** What the gate keeps of all kinds. */
 export interface KindServices {
@@ -20,8 +21,6 @@
   readonly kindLimiter: KindLimiter;
 }
 
-const FIRST_SERVER_ERROR = 500;
-
 export class KindUse {
   /** Whether the kind limiter counts the call as under way. */
   private isCounted = false;
@@ -62,7 +61,7 @@
     if (!this.isCounted) return;
     kindLimiter.onAnswer(kind, {
       maxTargetMs: this.maxTargetMs,
-      succeeded: status < FIRST_SERVER_ERROR,
+      succeeded: status < HttpStatus.InternalServerError,
       isCongested: this.isCongested(level),
     });
   }
--- a/src/http/claim-link.ts
+++ b/src/http/claim-link.ts
@@ -12,6 +12,7 @@
 import { postMessage, readMessage, writeMessage, writeStatus } from './link-messages.js';
 import type { ConnectionPools } from './connection-pools.js';
 import type { BodyLimits } from './request-body.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Request header that marks a message between nodes, to nodes only. */
 export const MESSAGE_HEADER = 'shoredoor-message';
@@ -19,8 +20,6 @@
 
 /** Longest time for a message and its reply, in milliseconds. Not measured. */
 const TIMEOUT_MS = 1_000;
-const STATUS_OK = 200;
-const STATUS_BAD_REQUEST = 400;
 /** A handover carries every claim of a node. The figure is not measured. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 /** The longest time for a message to arrive is not measured. */
@@ -60,7 +59,7 @@
       headers: { [LINK_HEADER]: linkToken, [MESSAGE_HEADER]: CLAIM_MESSAGE },
       signal: AbortSignal.timeout(TIMEOUT_MS),
     });
-    return status === STATUS_OK ? decodeMessage<ClaimReply>(bytes) : undefined;
+    return status === HttpStatus.Ok ? decodeMessage<ClaimReply>(bytes) : undefined;
   }
 }
 
@@ -71,6 +70,6 @@
   handle: (message: ClaimMessage) => ClaimReply,
 ): Promise<void> {
   const received = await readMessage<ClaimMessage>(message, BODY_LIMITS);
-  if (received === undefined) writeStatus(response, STATUS_BAD_REQUEST);
+  if (received === undefined) writeStatus(response, HttpStatus.BadRequest);
   else writeMessage(response, handle(received));
 }
--- a/src/http/control-client.ts
+++ b/src/http/control-client.ts
@@ -7,8 +7,8 @@
 import { Agent } from 'undici';
 import { decodeMessage } from '../common/message-codec.js';
 import { postMessage } from './link-messages.js';
+import { HttpStatus } from '../common/http-status.js';
 
-const STATUS_OK = 200;
 /**
  * Longest time to make a connection, in milliseconds. A lost opening packet is sent again after 1, 3 and 7 seconds only, so
  * waiting for it would cost a replica that is back up to as long as it was gone. The figure is not measured.
@@ -82,7 +82,7 @@
           if (progress !== undefined) progress.receivedBytes += count;
         },
       });
-      if (status !== STATUS_OK) return failed(ExchangeFailure.Refused, `status ${status}`);
+      if (status !== HttpStatus.Ok) return failed(ExchangeFailure.Refused, `status ${status}`);
       return { type: 'answered', answer: decodeMessage<Answer>(bytes) };
     } catch (error) {
       if (abort?.aborted === true) return failed(ExchangeFailure.Aborted, 'ended by the caller');
--- a/src/http/target-headers.ts
+++ b/src/http/target-headers.ts
@@ -6,6 +6,7 @@
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { AnswerFault } from '../call/transport.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Header names, in lower case. */
 export interface TargetHeaders {
@@ -41,8 +42,6 @@
   group: 'x-caller-group',
 };
 
-/** A target answers with it when another instance was meant. */
-const STATUS_MISDIRECTED = 421;
 /** The one content encoding of an answer that passes for the target's own. */
 const IDENTITY_ENCODING = 'identity';
 
@@ -61,7 +60,7 @@
 ): AnswerFault | undefined {
   const answeredId = headerValue(headers, names.requestId);
   if (answeredId !== undefined && answeredId !== requestId) return 'foreign';
-  if (status === STATUS_MISDIRECTED) return 'misdirected';
+  if (status === HttpStatus.MisdirectedRequest) return 'misdirected';
   if (headerValue(headers, names.notExecuted) !== undefined) return 'not-executed';
   if (answeredId === undefined) return 'foreign';
   const encoding = headerValue(headers, 'content-encoding');
--- a/src/membership/target-probe.ts
+++ b/src/membership/target-probe.ts
@@ -8,6 +8,7 @@
 import { request } from 'undici';
 import { headerValue, type TargetHeaders } from '../http/target-headers.js';
 import type { TargetReport } from './target-lease.js';
+import { HttpStatus } from '../common/http-status.js';
 
 /** Whom to ask. */
 export interface ProbedTarget {
@@ -18,7 +19,6 @@
   readonly path: string;
 }
 
-const STATUS_OK = 200;
 /** A probe waits for a slot like a request, so a busy target needs some time. Not measured. */
 const TIMEOUT_MS = 1_000;
 /** Fields of the load that a target tells: running, waiting, slots. */
@@ -39,7 +39,7 @@
       headers: { connection: 'close' },
     });
     await response.body.dump();
-    if (response.statusCode !== STATUS_OK) return undefined;
+    if (response.statusCode !== HttpStatus.Ok) return undefined;
     const instance = headerValue(response.headers, names.instanceId);
     const slots = slotsOf(headerValue(response.headers, names.load));
     if (instance === undefined || slots === undefined) return undefined;
--- a/src/outbound/call-learning.ts
+++ b/src/outbound/call-learning.ts
@@ -11,8 +11,7 @@
 import type { AnswerHead } from '../call/transport.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { CallReport } from './outbound-request.js';
-
-const STATUS_OVERLOADED = 503;
+import { HttpStatus } from '../common/http-status.js';
 
 export class CallLearning {
   private currentVerdict: Verdict = 'not-run';
@@ -73,7 +72,7 @@
   /** A target answers. */
   onAnswer({ status, outcome }: AnswerHead): void {
     this.currentVerdict = 'ran';
-    this.overloaded = outcome?.overloaded === true || status === STATUS_OVERLOADED;
+    this.overloaded = outcome?.overloaded === true || status === HttpStatus.ServiceUnavailable;
     this.informThrottle(this.overloaded, outcome);
   }
 
