--- a/src/call/outcome.ts
+++ b/src/call/outcome.ts
@@ -16,7 +16,7 @@
   readonly inFlight: number;
   /** Current concurrency limit of the node. */
   readonly limit: number;
-  /** Which repeats the gate would let through to its target now. Told by sidecars. Default: all. */
+  /** Which repeats the gate would let through to its target now. Reported by sidecars. Default: all. */
   readonly repeatRoom?: RepeatRoom;
 }
 
@@ -37,16 +37,16 @@
   readonly refusal: RefusalReason | undefined;
   /** Whether this call, or one made on its behalf, was refused for overload. */
   readonly overloaded: boolean;
-  /** Part of the calls there and below that are held up, 0 to 1. Told by sidecars. */
+  /** Part of the calls there and downstream that are congested, 0 to 1. Reported by sidecars. */
   readonly congestion?: number;
-  /** Whether targets make the calls of this kind, and not clients. Told by sidecars. Default false. */
+  /** Whether targets make the calls of this kind, and not clients. Reported by sidecars. Default false. */
   readonly nested?: boolean;
   /**
    * Whether the target itself turned the call away: it arrived there, so sending it to another target
-   * counts as a retry. Told by sidecars. Default false.
+   * counts as a retry. Reported by sidecars. Default false.
    */
   readonly rejectedByTarget?: boolean;
-  /** Set where a crash of the target, or the fear of one, decided the call. Told by sidecars. */
+  /** Set where a crash of the target, or the fear of one, decided the call. Reported by sidecars. */
   readonly crashNote?: CrashNote;
   /** Retries given back to the caller. */
   readonly unspentRetries: number;
--- a/src/control/member-table.ts
+++ b/src/control/member-table.ts
@@ -27,7 +27,7 @@
 const MASS_SILENCE_FRACTION = 0.3;
 /** Members below which any number that falls silent together is taken to be gone. Not measured. */
 const MIN_MEMBERS_FOR_MASS_SILENCE = 10;
-/** Heartbeats that were held up arrive together; those of a process that runs come this far apart, in milliseconds. Not measured. */
+/** Heartbeats that were delayed arrive together; those of a process that runs come this far apart, in milliseconds. Not measured. */
 const MIN_HEARTBEAT_GAP_MS = 300;
 
 export class MemberTable {
--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -60,7 +60,7 @@
 }
 
 /**
- * Reports that were held up arrive together; those of a target that runs come at least this far apart, in milliseconds.
+ * Reports that were delayed arrive together; those of a target that runs come at least this far apart, in milliseconds.
  * Not measured.
  */
 const MIN_REPORT_GAP_MS = 300;
--- a/src/outbound/outbound-request.ts
+++ b/src/outbound/outbound-request.ts
@@ -37,11 +37,11 @@
   readonly balancer: Balancer;
 }
 
-/** What the answers to a call have told, for whoever made it. */
+/** What the answers to a call have reported, for whoever made it. */
 export interface CallReport {
   /** Whether the call, or one made on its behalf, was refused for overload. */
   readonly overloaded: boolean;
-  /** Part of the calls below that are held up, as the callee told it, 0 to 1; 0 where it told nothing. */
+  /** Part of the downstream calls that are congested, as the callee reported it, 0 to 1; 0 where it reported nothing. */
   readonly congestion: number;
   /** Whether targets make calls like this one; undefined where no gate has answered. */
   readonly nested: boolean | undefined;
--- a/src/retry/retry-policy.ts
+++ b/src/retry/retry-policy.ts
@@ -58,7 +58,7 @@
 /** What is known of an attempt that did not bring an answer. */
 export interface FailedAttempt {
   readonly verdict: Verdict;
-  /** Whether the callee refused because of overload, of its own or further down. */
+  /** Whether the callee refused because of overload, of its own or downstream. */
   readonly overloaded: boolean;
   /** Whether it arrived at a target, which turned it away. */
   readonly rejectedByTarget: boolean;
