--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -4,7 +4,6 @@
  * Owns the exchanges under way, and the registry's entry of each. Relies on the link token to tell shoredoor's own
  * processes from strangers, and on the gate for every decision about a call.
  */
-import { timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { bodyNotTaken, CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
 import type { BodyLimits, RequestBody } from '../http/request-body.js';
@@ -25,6 +24,7 @@
 import type { Refusal } from '../call/refusal.js';
 import { requestPath } from '../call/request-target.js';
 import { newSpanId, newTraceId, parseTraceParent } from '../call/trace-parent.js';
+import { isSameToken } from '../http/link-token.js';
 
 /** What the inbound side is made of. */
 export interface InboundServerOptions {
@@ -52,11 +52,7 @@
 const MAX_KEY_LENGTH = 256;
 
 export class NodeInboundServer {
-  private readonly linkToken: Buffer;
-
-  constructor(private readonly options: InboundServerOptions) {
-    this.linkToken = Buffer.from(options.linkToken);
-  }
+  constructor(private readonly options: InboundServerOptions) {}
 
   /** Handles one call. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
@@ -80,10 +76,7 @@
 
   private isLinked(message: IncomingMessage): boolean {
     const token = message.headers[LINK_HEADER];
-    if (typeof token !== 'string') return false;
-    const presented = Buffer.from(token);
-    if (presented.length !== this.linkToken.length) return false;
-    return timingSafeEqual(presented, this.linkToken);
+    return typeof token === 'string' && isSameToken(token, this.options.linkToken);
   }
 
   /** The context of a call from outside: least importance, no group, no retries. */
