--- a/src/call/call-durations.ts
+++ b/src/call/call-durations.ts
@@ -4,6 +4,7 @@
  *
  * Owns the latest durations by kind; relies on being told of each whole answer. Pure.
  */
+import { BoundedMap } from '../common/bounded-map.js';
 
 /** Calls of a kind that are remembered: enough for a 0.95 quantile, few enough to follow a change. Not measured. */
 const REMEMBERED = 64;
@@ -17,13 +18,12 @@
 }
 
 export class CallDurations {
-  private readonly byKind = new Map<string, RecentDurations>();
+  private readonly byKind = new BoundedMap<RecentDurations>(MAX_KINDS);
 
   /** A call of `kind` was over after `durationMs`. */
   onCall(kind: string, durationMs: number): void {
     const recent = this.byKind.get(kind);
     if (recent === undefined) {
-      if (this.byKind.size >= MAX_KINDS) this.byKind.clear();
       this.byKind.set(kind, { durationsMs: [durationMs], next: 1 % REMEMBERED });
       return;
     }
--- a/src/routing/latency-baseline.ts
+++ b/src/routing/latency-baseline.ts
@@ -2,6 +2,7 @@
  * The usual latency of each traffic class over all endpoints of a service, so that endpoints can be compared whatever mix
  * of requests each of them got. Owns those latencies; relies on a target's true answers being passed in alone.
  */
+import { BoundedMap } from '../common/bounded-map.js';
 
 /** Weight of one answer in the usual latency: about the last twenty count. Not measured. */
 const WEIGHT = 0.05;
@@ -24,7 +25,7 @@
 }
 
 export class LatencyBaseline {
-  private readonly usual = new Map<string, UsualLatency>();
+  private readonly usual = new BoundedMap<UsualLatency>(MAX_CLASSES);
 
   /** Usual latency of a traffic class in milliseconds; undefined before {@link MIN_ANSWERS} answers. */
   usualLatencyMs(trafficClass: string): number | undefined {
@@ -37,7 +38,6 @@
     const latency = Math.max(MIN_LATENCY_MS, latencyMs);
     const known = this.usual.get(trafficClass);
     if (known === undefined) {
-      if (this.usual.size >= MAX_CLASSES) this.usual.clear();
       this.usual.set(trafficClass, { latencyMs: latency, answers: 1 });
       return 1;
     }
--- a/src/routing/nested-routes.ts
+++ b/src/routing/nested-routes.ts
@@ -3,6 +3,7 @@
  * routes change: what most of the latest answers say holds. Owns what one process learned; a gate draws its own
  * conclusion from where calls begin (origin-tracker.ts).
  */
+import { BoundedMap } from '../common/bounded-map.js';
 
 /** Weight of one answer: what the last ten or so say counts. Not measured. */
 const WEIGHT = 0.1;
@@ -15,7 +16,7 @@
 
 export class NestedRoutes {
   /** Part of the latest answers that said so, by route. */
-  private readonly parts = new Map<string, number>();
+  private readonly parts = new BoundedMap<number>(MAX_ROUTES);
 
   /** Whether targets make the calls of `route`. */
   has(route: string): boolean {
@@ -27,7 +28,6 @@
     const before = this.has(route);
     const part = this.parts.get(route);
     if (part === undefined && !isNested) return false;
-    if (part === undefined && this.parts.size >= MAX_ROUTES) this.parts.clear();
     const present = part ?? 0;
     this.parts.set(route, present + WEIGHT * ((isNested ? 1 : 0) - present));
     return this.has(route) !== before;
