--- a/src/gate/arrival-rules.ts
+++ b/src/gate/arrival-rules.ts
@@ -28,7 +28,7 @@
 }
 
 /** @returns undefined where the call may begin */
-export function arrivalRefusal(arrival: Arrival): ArrivalRefusal | undefined {
+export function checkArrival(arrival: Arrival): ArrivalRefusal | undefined {
   const { service, presentService, isQuarantined } = arrival;
   if (presentService === undefined) {
     const detail = 'There is no target now.';
--- a/src/gate/broken-run.ts
+++ b/src/gate/broken-run.ts
@@ -5,7 +5,7 @@
 import { SOON_SECONDS } from '../call/retry-after.js';
 
 /** The refusal, and what it tells the caller of the target. */
-export interface BrokenRun {
+export interface BrokenConnectionRefusal {
   readonly refusal: Refusal;
   readonly crashNote: CrashNote | undefined;
 }
@@ -15,11 +15,11 @@
  * @param isDown whether the target refuses connections, or another incarnation is in its place
  * @param isLikelyCause whether the target may have crashed because of the request
  */
-export function judgeBrokenRun(
+export function classifyBrokenConnection(
   verdict: Verdict,
   isDown: boolean,
   isLikelyCause: boolean,
-): BrokenRun {
+): BrokenConnectionRefusal {
   const retryAfterSeconds = SOON_SECONDS;
   if (!isDown) {
     const detail = 'The connection to the target broke.';
--- a/src/gate/call-entry.ts
+++ b/src/gate/call-entry.ts
@@ -23,7 +23,7 @@
 import type { SampleOutcome } from '../admission/concurrency-limiter.js';
 import type { CallContext } from '../call/call-context.js';
 import type { ClaimDecision, ClaimHandle } from '../dedup/claim.js';
-import type { CallRules } from './call-rules.js';
+import type { CallHooks } from './call-rules.js';
 import {
   claimRefusal,
   kindLimitRefusal,
@@ -35,17 +35,17 @@
 } from './gate-refusals.js';
 import type { InboundServices } from './inbound-services.js';
 
-/** Told how far the call gets, possibly before {@link CallEntry.start} returns. */
-interface EntryListener {
-  /** The call holds a permit. @param waitedLong whether its wait counts as congestion */
-  onAdmitted(waitedLong: boolean): void;
+/** Told how far the call gets, possibly before {@link CallAdmission.start} returns. */
+interface CallAdmissionListener {
+  /** The call holds a permit. @param wasDelayed whether its wait counts as congestion */
+  onAdmitted(wasDelayed: boolean): void;
   /** Every rule has let the call in: it is to be sent now. */
-  onEntered(): void;
+  onReady(): void;
   /** A rule has refused the call. Nothing follows. */
   onRefused(refusal: GateRefusal): void;
 }
 
-export class CallEntry {
+export class CallAdmission {
   private readonly startedAt: number;
   private pending: PendingAdmission | undefined;
   private permit: AdmissionPermit | undefined;
@@ -61,8 +61,8 @@
     private readonly context: CallContext,
     private readonly claimKey: string | undefined,
     private readonly services: InboundServices,
-    private readonly rules: CallRules,
-    private readonly listener: EntryListener,
+    private readonly hooks: CallHooks,
+    private readonly listener: CallAdmissionListener,
   ) {
     this.startedAt = services.clock.now();
   }
@@ -80,19 +80,22 @@
   /** Asks the rules in their order. */
   start(): void {
     const refusal =
-      this.askLeaving() ?? this.askSlowTarget() ?? this.askKindLimit() ?? this.askRetryBudget();
-    if (refusal === undefined) this.askAdmission();
+      this.checkLeaving() ??
+      this.checkSlowTarget() ??
+      this.checkKindLimit() ??
+      this.checkRetryBudget();
+    if (refusal === undefined) this.requestPermit();
     else this.listener.onRefused(refusal);
   }
 
   /** Gives up waiting for a permit. */
-  withdraw(): void {
+  cancelWait(): void {
     this.pending?.cancel();
   }
 
   /** Gives back what the call holds, but for its claim. Further calls do nothing. */
-  leave(outcome: SampleOutcome, nestedMs: number): void {
-    this.rules.leave();
+  release(outcome: SampleOutcome, nestedMs: number): void {
+    this.hooks.release();
     const { permit } = this;
     this.permit = undefined;
     permit?.release(outcome, nestedMs);
@@ -103,24 +106,24 @@
     this.isClosed = true;
   }
 
-  private askLeaving(): GateRefusal | undefined {
+  private checkLeaving(): GateRefusal | undefined {
     return this.services.isLeaving(this.context.kind) ? leavingRefusal() : undefined;
   }
 
-  private askSlowTarget(): GateRefusal | undefined {
-    return this.rules.mayBeAnswered() ? undefined : slowTargetRefusal();
+  private checkSlowTarget(): GateRefusal | undefined {
+    return this.hooks.isTargetResponsive() ? undefined : slowTargetRefusal();
   }
 
-  private askKindLimit(): GateRefusal | undefined {
-    const reached = this.rules.enterKind();
+  private checkKindLimit(): GateRefusal | undefined {
+    const reached = this.hooks.acquireKindLimit();
     return reached === undefined ? undefined : kindLimitRefusal(reached);
   }
 
-  private askRetryBudget(): GateRefusal | undefined {
-    return this.rules.enterRepeat() ? undefined : retryBudgetRefusal();
+  private checkRetryBudget(): GateRefusal | undefined {
+    return this.hooks.tryAcquireRetryBudget() ? undefined : retryBudgetRefusal();
   }
 
-  private askAdmission(): void {
+  private requestPermit(): void {
     const { group: shareClass, groupRank, kind, importance, deadlineAt, waitUntil } = this.context;
     this.pending = this.services.admission.offer(
       { shareClass, groupRank, kind, importance, deadlineAt, waitUntil },
@@ -132,20 +135,20 @@
   }
 
   private onNotAdmitted(reason: AdmissionRefusal, retryAfterSeconds: number): void {
-    if (reason !== 'leaving') this.rules.onNotAdmitted();
+    if (reason !== 'leaving') this.hooks.onNotAdmitted();
     this.listener.onRefused(notAdmittedRefusal(reason, retryAfterSeconds));
   }
 
   private onAdmitted(permit: AdmissionPermit): void {
     this.permit = permit;
     this.permitAt = this.services.clock.now();
-    this.listener.onAdmitted(this.rules.onAdmitted(this.permitAt - this.startedAt));
-    this.askClaim();
+    this.listener.onAdmitted(this.hooks.onAdmitted(this.permitAt - this.startedAt));
+    this.requestClaim();
   }
 
-  private askClaim(): void {
+  private requestClaim(): void {
     if (this.claimKey === undefined) {
-      this.listener.onEntered();
+      this.listener.onReady();
       return;
     }
     const { claims } = this.services;
@@ -155,7 +158,7 @@
   private onClaim(decision: ClaimDecision): void {
     if (this.isClosed) return;
     if (decision.type === 'granted') {
-      this.listener.onEntered();
+      this.listener.onReady();
       return;
     }
     this.heldClaim = undefined;
--- a/src/gate/call-report.ts
+++ b/src/gate/call-report.ts
@@ -7,9 +7,9 @@
 import type { RefusalReason } from '../call/refusal.js';
 import type { Verdict } from '../common/verdict.js';
 import type { RetryAllowance } from '../retry/retry-allowance.js';
-import type { CallRules } from './call-rules.js';
+import type { CallHooks } from './call-rules.js';
 
-export class CallReport {
+export class OutcomeBuilder {
   /** A call that the target made on behalf of this one met overload. */
   nestedOverload = false;
   /** The call was refused for overload, here or by the target. */
@@ -17,24 +17,24 @@
   /** The target turned the call away itself. */
   rejectedByTarget = false;
   /** The call waited long to be let in. */
-  waitedLong = false;
+  wasDelayed = false;
   crashNote: CrashNote | undefined;
 
   constructor(
     private readonly admission: AdmissionController,
-    private readonly rules: CallRules,
+    private readonly hooks: CallHooks,
     private readonly allowance: RetryAllowance,
   ) {}
 
   /** The outcome to send with the answer. Ends the loan of retries: none can be spent after it. */
   takeOutcome(verdict: Verdict, refusal: RefusalReason | undefined): Outcome {
-    const congestion = this.rules.congestion();
+    const congestion = this.hooks.congestion();
     return {
       verdict,
       refusal,
-      overloaded: this.refusedForOverload || this.nestedOverload || this.waitedLong,
+      overloaded: this.refusedForOverload || this.nestedOverload || this.wasDelayed,
       ...(congestion !== undefined && { congestion }),
-      ...(this.rules.isNested && { nested: true }),
+      ...(this.hooks.isNested && { nested: true }),
       ...(this.rejectedByTarget && { rejectedByTarget: true }),
       ...(this.crashNote !== undefined && { crashNote: this.crashNote }),
       unspentRetries: this.allowance.end(),
@@ -44,7 +44,7 @@
 
   private loadReport(): LoadReport {
     const { inFlight, waiting, limit } = this.admission.status();
-    const { repeatRoom } = this.rules;
+    const { repeatRoom } = this.hooks;
     return { inFlight: inFlight + waiting, limit, repeatRoom };
   }
 }
--- a/src/gate/call-rules.ts
+++ b/src/gate/call-rules.ts
@@ -7,52 +7,52 @@
 import type { KindRefusal } from './kind-refusal.js';
 
 /** The rules for one call. */
-export interface CallRules {
+export interface CallHooks {
   /** Whether a target makes the call. */
   readonly isNested: boolean;
   /** Which repeats the retry budget of the target's service would let through now. */
   readonly repeatRoom: RepeatRoom;
   /** Whether the target can be expected to answer the call. */
-  mayBeAnswered(): boolean;
+  isTargetResponsive(): boolean;
   /** Asks the limit of the call's kind, and counts the call as under way; says why not where it is refused. */
-  enterKind(): KindRefusal | undefined;
+  acquireKindLimit(): KindRefusal | undefined;
   /** Asks the retry budget; false where the call is a repeat that it has no room for. */
-  enterRepeat(): boolean;
+  tryAcquireRetryBudget(): boolean;
   /** The call holds a permit. @returns whether its wait counts as congestion */
   onAdmitted(waitedMs: number): boolean;
   /** The call was refused for want of room or time. */
   onNotAdmitted(): void;
   /** The call is about to arrive at the target. @returns its run, where crashes of the target are watched */
-  onArrival(): WatchedRun | undefined;
-  /** The target has answered. @param heldMs time that the call was in the target, in milliseconds */
-  onAnswer(status: number, heldMs: number): void;
+  onDispatch(): WatchedRun | undefined;
+  /** The target has answered. @param timeInTargetMs time that the call was in the target, in milliseconds */
+  onAnswer(status: number, timeInTargetMs: number): void;
   /** Another target answered at the address of the expected incarnation. */
   onMisdirected(expectedIncarnation: string): void;
   /** Whether the target may have crashed because of the run. @param underWay requests it was at work on */
   isLikelyCause(run: WatchedRun, underWay: number): boolean;
   /** The call has left the target, or will not get there. May come more than once. */
-  leave(): void;
+  release(): void;
   /** Congestion to report to the caller, 0 to 1; undefined where none is kept. */
   congestion(): number | undefined;
 }
 
-function nothing(): void {
+function noop(): void {
   // The inbound side of a node keeps nothing of its calls.
 }
 
 /** The inbound side of `shoredoor node`: no limits by kind, no retry budget, no watch for crashes, no levels. */
-export const NODE_CALL_RULES: CallRules = {
+export const NODE_CALL_RULES: CallHooks = {
   isNested: false,
   repeatRoom: RepeatRoom.Runs,
-  mayBeAnswered: () => true,
-  enterKind: () => undefined,
-  enterRepeat: () => true,
+  isTargetResponsive: () => true,
+  acquireKindLimit: () => undefined,
+  tryAcquireRetryBudget: () => true,
   onAdmitted: () => false,
-  onNotAdmitted: nothing,
-  onArrival: () => undefined,
-  onAnswer: nothing,
-  onMisdirected: nothing,
+  onNotAdmitted: noop,
+  onDispatch: () => undefined,
+  onAnswer: noop,
+  onMisdirected: noop,
   isLikelyCause: () => false,
-  leave: nothing,
+  release: noop,
   congestion: () => undefined,
 };
--- a/src/gate/gate-call-rules.ts
+++ b/src/gate/gate-call-rules.ts
@@ -8,12 +8,12 @@
 import type { CallContext } from '../call/call-context.js';
 import type { WatchedRun } from '../quarantine/crash-watch.js';
 import type { RepeatRoom } from '../retry/repeat-room.js';
-import type { CallRules } from './call-rules.js';
+import type { CallHooks } from './call-rules.js';
 import { reportedCongestion } from './gate-congestion.js';
 import type { GateServices } from './inbound-services.js';
 import type { KindRefusal } from './kind-refusal.js';
-import { KindUse } from './kind-use.js';
-import { RepeatUse } from './repeat-use.js';
+import { CallKindLimit } from './kind-use.js';
+import { CallRetryBudget } from './repeat-use.js';
 
 /** What a gate knows of a call besides its context. */
 export interface GateCallOptions {
@@ -28,9 +28,9 @@
   readonly congestedAfterMs: number;
 }
 
-export class GateCallRules implements CallRules {
-  private readonly kindUse: KindUse;
-  private readonly repeatUse: RepeatUse;
+export class GateCallRules implements CallHooks {
+  private readonly kindLimit: CallKindLimit;
+  private readonly retryBudget: CallRetryBudget;
   /** When the call was sent to the target, in monotonic milliseconds; undefined while it is not there. */
   private arrivedAt: number | undefined;
 
@@ -39,8 +39,8 @@
     private readonly context: CallContext,
     private readonly options: GateCallOptions,
   ) {
-    this.kindUse = new KindUse(services, context);
-    this.repeatUse = new RepeatUse(services, context, options.isNested);
+    this.kindLimit = new CallKindLimit(services, context);
+    this.retryBudget = new CallRetryBudget(services, context, options.isNested);
   }
 
   get isNested(): boolean {
@@ -48,40 +48,40 @@
   }
 
   get repeatRoom(): RepeatRoom {
-    return this.repeatUse.room;
+    return this.retryBudget.room;
   }
 
-  mayBeAnswered(): boolean {
+  isTargetResponsive(): boolean {
     return this.services.runOutcomes.mayBeAnswered(this.context.kind);
   }
 
-  enterKind(): KindRefusal | undefined {
-    return this.kindUse.enter(this.options.isPresumedNested ?? this.isNested);
+  acquireKindLimit(): KindRefusal | undefined {
+    return this.kindLimit.acquire(this.options.isPresumedNested ?? this.isNested);
   }
 
-  enterRepeat(): boolean {
-    return this.repeatUse.tryEnter();
+  tryAcquireRetryBudget(): boolean {
+    return this.retryBudget.tryAcquire();
   }
 
   onAdmitted(waitedMs: number): boolean {
-    const waitedLong = waitedMs > this.options.congestedAfterMs;
-    this.queueLevel.onCall(waitedLong ? 1 : 0);
-    return waitedLong;
+    const wasDelayed = waitedMs > this.options.congestedAfterMs;
+    this.queueLevel.onCall(wasDelayed ? 1 : 0);
+    return wasDelayed;
   }
 
   onNotAdmitted(): void {
     this.queueLevel.onCall(1);
   }
 
-  onArrival(): WatchedRun | undefined {
-    this.repeatUse.onArrival();
+  onDispatch(): WatchedRun | undefined {
+    this.retryBudget.onDispatch();
     this.arrivedAt = this.services.clock.now();
     this.services.runOutcomes.onBegin(this.context.kind);
     return this.services.crashGuard.begin(this.context.fingerprint ?? '');
   }
 
-  onAnswer(status: number, heldMs: number): void {
-    this.kindUse.onAnswer(status, heldMs);
+  onAnswer(status: number, timeInTargetMs: number): void {
+    this.kindLimit.onAnswer(status, timeInTargetMs);
     this.endRun(runResultOf(status));
   }
 
@@ -93,10 +93,10 @@
     return this.services.crashGuard.isLikelyCause(run, underWay);
   }
 
-  leave(): void {
+  release(): void {
     this.endRun(RunResult.GivenUp);
-    this.kindUse.leave();
-    this.repeatUse.leave();
+    this.kindLimit.release();
+    this.retryBudget.release();
   }
 
   congestion(): number {
--- a/src/gate/gate-congestion.ts
+++ b/src/gate/gate-congestion.ts
@@ -1,5 +1,5 @@
 /** The congestion level that a gate reports with each outcome. Pure. */
-import type { KindServices } from './kind-use.js';
+import type { KindLimitServices } from './kind-use.js';
 
 /**
  * The level of what waits here and downstream. What waits here concerns
@@ -13,7 +13,7 @@
  * @param queueLevel part of the calls of this importance that wait long or are refused here, 0 to 1
  */
 export function reportedCongestion(
-  { downstreamLevel, kindImpact }: KindServices,
+  { downstreamLevel, kindImpact }: KindLimitServices,
   kind: string,
   isNested: boolean,
   queueLevel: number,
--- a/src/gate/gate-refusals.ts
+++ b/src/gate/gate-refusals.ts
@@ -25,22 +25,30 @@
 
 /** The process takes no more calls of the kind. */
 export function leavingRefusal(): GateRefusal {
-  return refuse('leaving', 'not-run', 'The target is leaving.');
+  return retryableRefusal('leaving', 'not-run', 'The target is leaving.');
 }
 
 /** The target takes too long at present. */
 export function slowTargetRefusal(): GateRefusal {
-  return refuse('unavailable', 'not-run', 'The target takes too long now to answer in time.');
+  return retryableRefusal(
+    'unavailable',
+    'not-run',
+    'The target takes too long now to answer in time.',
+  );
 }
 
 /** The limit by kind is reached. */
 export function kindLimitRefusal(reached: KindRefusal): GateRefusal {
-  return overload(refuse('overload', 'not-run', kindRefusalDetail(reached)));
+  return overload(retryableRefusal('overload', 'not-run', kindRefusalDetail(reached)));
 }
 
 /** The retry budget has no room for a repeat. */
 export function retryBudgetRefusal(): GateRefusal {
-  return refuse('retry-budget', 'not-run', 'The service has had all the repeats that it may.');
+  return retryableRefusal(
+    'retry-budget',
+    'not-run',
+    'The service has had all the repeats that it may.',
+  );
 }
 
 /** Admission has no slot for the call in its time. @param retryAfterSeconds as admission says */
@@ -55,47 +63,48 @@
 
 /** The idempotency key was not granted. */
 export function claimRefusal(decision: Exclude<ClaimDecision, { type: 'granted' }>): GateRefusal {
-  if (decision.type === 'unknown') return refuse('duplicate-unknown', 'not-run', decision.detail);
-  return final('duplicate', decision.verdict, decision.detail);
+  if (decision.type === 'unknown')
+    return retryableRefusal('duplicate-unknown', 'not-run', decision.detail);
+  return finalRefusal('duplicate', decision.verdict, decision.detail);
 }
 
 /**
  * What came back is not the target's answer to the request.
- * @param isTargetFull whether the target can be short of room
+ * @param isTargetNearCapacity whether the target can be short of room
  */
-export function answerFaultRefusal(fault: AnswerFault, isTargetFull: boolean): GateRefusal {
+export function answerFaultRefusal(fault: AnswerFault, isTargetNearCapacity: boolean): GateRefusal {
   if (fault === 'foreign') {
-    return final('broken-answer', 'may-have-run', 'The answer was not to this request.');
+    return finalRefusal('broken-answer', 'may-have-run', 'The answer was not to this request.');
   }
   const detail = 'The target turned the request away.';
-  const isOverload = fault === 'not-executed' && isTargetFull;
-  if (!isOverload) return refuse('unavailable', 'not-run', detail);
-  return overload(refuse('overload', 'not-run', detail));
+  const isOverload = fault === 'not-executed' && isTargetNearCapacity;
+  if (!isOverload) return retryableRefusal('unavailable', 'not-run', detail);
+  return overload(retryableRefusal('overload', 'not-run', detail));
 }
 
 /** The request's body could not be read to its end. */
 export function bodyBrokeRefusal(verdict: Verdict): GateRefusal {
-  return final('bad-request', verdict, 'The request body broke off.');
+  return finalRefusal('bad-request', verdict, 'The request body broke off.');
 }
 
 /** The deadline passed while the call was in the target. */
 export function deadlineRefusal(verdict: Verdict): GateRefusal {
-  return refuse('deadline', verdict, 'The target did not answer before the deadline.');
+  return retryableRefusal('deadline', verdict, 'The target did not answer before the deadline.');
 }
 
 /** This process ends before the call does. */
 export function processEndRefusal(verdict: Verdict): GateRefusal {
-  return refuse('leaving', verdict, 'The process had to end before the target answered.');
+  return retryableRefusal('leaving', verdict, 'The process had to end before the target answered.');
 }
 
 /** The caller may come again soon. */
-function refuse(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
+function retryableRefusal(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
   const refusal: Refusal = { reason, verdict, retryAfterSeconds: SOON_SECONDS, detail };
   return { refusal, isOverload: false };
 }
 
 /** Coming again does not help. */
-function final(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
+function finalRefusal(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
   const refusal: Refusal = { reason, verdict, retryAfterSeconds: NO_RETRY_AFTER, detail };
   return { refusal, isOverload: false };
 }
--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -11,7 +11,7 @@
 import type { CallContext } from '../call/call-context.js';
 import type { CallDurations } from '../call/call-durations.js';
 import type { CallStats } from '../call/call-stats.js';
-import { arrivalRefusal, type ArrivalRefusal } from './arrival-rules.js';
+import { checkArrival, type ArrivalRefusal } from './arrival-rules.js';
 import { gateContext, gateOptions } from './gate-policy.js';
 import { InboundCall } from './inbound-call.js';
 import { GateCallRules, type GateCallOptions } from './gate-call-rules.js';
@@ -79,13 +79,13 @@
     const { context, incoming } = this;
     this.onOver = onOver;
     stats.onStart();
-    const refused = arrivalRefusal({
+    const refused = checkArrival({
       service: context.service,
       presentService: service(),
       isQuarantined: () => services.crashGuard.isQuarantined(context.fingerprint ?? ''),
     });
     if (refused !== undefined) {
-      this.refuseUnbegun(refused);
+      this.refuseOnArrival(refused);
       return;
     }
     const call: InboundCall = new InboundCall(
@@ -133,7 +133,7 @@
     this.finish();
   }
 
-  private refuseUnbegun({ reason, detail, crashNote }: ArrivalRefusal): void {
+  private refuseOnArrival({ reason, detail, crashNote }: ArrivalRefusal): void {
     const outcome = unbegunOutcome(reason, this.context.retries);
     const noted = crashNote === undefined ? outcome : { ...outcome, crashNote };
     this.refuse(reason, noted, detail);
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -20,10 +20,10 @@
 import type { Verdict } from '../common/verdict.js';
 import { RunEnd, type TargetState, type WatchedRun } from '../quarantine/crash-watch.js';
 import { RetryAllowance } from '../retry/retry-allowance.js';
-import { judgeBrokenRun } from './broken-run.js';
-import { CallEntry } from './call-entry.js';
-import { CallReport } from './call-report.js';
-import type { CallRules } from './call-rules.js';
+import { classifyBrokenConnection } from './broken-run.js';
+import { CallAdmission } from './call-entry.js';
+import { OutcomeBuilder } from './call-report.js';
+import type { CallHooks } from './call-rules.js';
 import {
   answerFaultRefusal,
   bodyBrokeRefusal,
@@ -33,15 +33,15 @@
 } from './gate-refusals.js';
 import type { InboundListener, InboundResult, InboundServices } from './inbound-services.js';
 import { NestedTime } from './nested-time.js';
-import { isTargetFull } from './target-room.js';
+import { isTargetNearCapacity } from './target-room.js';
 import { HttpStatus } from '../common/http-status.js';
 
 export class InboundCall {
   /** Retries that the calls made by the target share. */
   readonly allowance: RetryAllowance;
   private readonly nested: NestedTime;
-  private readonly report: CallReport;
-  private readonly entry: CallEntry;
+  private readonly outcomeBuilder: OutcomeBuilder;
+  private readonly callAdmission: CallAdmission;
   private attempt: Attempt | undefined;
   private run: WatchedRun | undefined;
   private deadlineTimer: Timer | undefined;
@@ -52,7 +52,7 @@
   /**
    * @param claimKey scope and idempotency key of a call that may run at most once; undefined for
    *   all other calls
-   * @param rules what the process asks and learns of the call
+   * @param hooks what the process asks and learns of the call
    */
   constructor(
     readonly context: CallContext,
@@ -60,21 +60,21 @@
     private readonly services: InboundServices,
     private readonly transport: TargetTransport,
     private readonly listener: InboundListener,
-    private readonly rules: CallRules,
+    private readonly hooks: CallHooks,
   ) {
     this.allowance = new RetryAllowance(context.retries);
     this.nested = new NestedTime(services.clock);
-    this.report = new CallReport(services.admission, rules, this.allowance);
-    this.entry = new CallEntry(context, claimKey, services, rules, {
-      onAdmitted: (waitedLong) => this.onAdmitted(waitedLong),
-      onEntered: () => this.forward(),
+    this.outcomeBuilder = new OutcomeBuilder(services.admission, hooks, this.allowance);
+    this.callAdmission = new CallAdmission(context, claimKey, services, hooks, {
+      onAdmitted: (wasDelayed) => this.onAdmitted(wasDelayed),
+      onReady: () => this.forward(),
       onRefused: (refusal) => this.refuse(refusal),
     });
   }
 
   /** Starts the call. The listener may hear the result before this returns. */
   start(): void {
-    this.entry.start();
+    this.callAdmission.start();
   }
 
   /** The caller went away: stops everything below. The listener hears nothing more. */
@@ -97,23 +97,23 @@
   /** A call that the target made on behalf of this one ended. */
   onNestedEnd(overloaded: boolean): void {
     this.nested.end();
-    this.report.nestedOverload ||= overloaded;
+    this.outcomeBuilder.nestedOverload ||= overloaded;
   }
 
   /** The outcome to send with the answer. Ends the loan of retries: none can be spent after it. */
   takeOutcome(verdict: Verdict, refusal: RefusalReason | undefined): Outcome {
-    return this.report.takeOutcome(verdict, refusal);
+    return this.outcomeBuilder.takeOutcome(verdict, refusal);
   }
 
-  private onAdmitted(waitedLong: boolean): void {
-    this.report.waitedLong = waitedLong;
-    const remainingMs = this.context.deadlineAt - this.entry.admittedAt;
+  private onAdmitted(wasDelayed: boolean): void {
+    this.outcomeBuilder.wasDelayed = wasDelayed;
+    const remainingMs = this.context.deadlineAt - this.callAdmission.admittedAt;
     this.deadlineTimer = this.services.clock.schedule(remainingMs, () => this.onDeadline());
   }
 
   private forward(): void {
-    this.entry.claim?.onForwarded();
-    this.run = this.rules.onArrival();
+    this.callAdmission.claim?.onForwarded();
+    this.run = this.hooks.onDispatch();
     this.attempt = this.transport.send({
       onHead: (head) => this.onHead(head),
       onEnd: () => this.onEnd(),
@@ -128,69 +128,69 @@
     }
     this.answerBegan = true;
     this.status = head.status;
-    this.entry.claim?.onAnswered();
-    this.learnFrom(head.status);
-    if (head.status === HttpStatus.ServiceUnavailable && !this.report.nestedOverload) {
-      this.report.refusedForOverload = true;
-      this.leave('dropped');
+    this.callAdmission.claim?.onAnswered();
+    this.recordAnswer(head.status);
+    if (head.status === HttpStatus.ServiceUnavailable && !this.outcomeBuilder.nestedOverload) {
+      this.outcomeBuilder.refusedForOverload = true;
+      this.release('dropped');
     }
     return 'relay';
   }
 
   /** The target has answered, or has not in time. */
-  private learnFrom(status: number): void {
-    this.rules.onAnswer(status, this.services.clock.now() - this.entry.admittedAt);
+  private recordAnswer(status: number): void {
+    this.hooks.onAnswer(status, this.services.clock.now() - this.callAdmission.admittedAt);
   }
 
   private onFaultyAnswer(fault: AnswerFault, expectedIncarnation: string | undefined): void {
     // Asked before the call gives its own slot back.
-    const isFull = isTargetFull(this.services.admission.status());
-    this.leave('dropped');
+    const isFull = isTargetNearCapacity(this.services.admission.status());
+    this.release('dropped');
     if (fault === 'foreign') {
       // What follows on this connection can't be told apart either.
       this.attempt?.cancel();
     } else {
       this.run?.end(RunEnd.Failed);
-      this.report.rejectedByTarget = true;
-      this.entry.claim?.release();
-      if (fault === 'misdirected') this.rules.onMisdirected(expectedIncarnation ?? '');
+      this.outcomeBuilder.rejectedByTarget = true;
+      this.callAdmission.claim?.release();
+      if (fault === 'misdirected') this.hooks.onMisdirected(expectedIncarnation ?? '');
     }
     this.refuse(answerFaultRefusal(fault, isFull));
   }
 
   private onEnd(): void {
     this.run?.end(this.status < HttpStatus.InternalServerError ? RunEnd.Answered : RunEnd.Failed);
-    this.leave('answered');
+    this.release('answered');
     this.finish({ type: 'relayed' });
   }
 
   private onFailure(failure: AttemptFailure): void {
     this.run?.end(failure.written ? RunEnd.Lost : RunEnd.Failed);
-    this.leave(failure.reason === 'caller-gone' ? 'cancelled' : 'dropped');
+    this.release(failure.reason === 'caller-gone' ? 'cancelled' : 'dropped');
     const targetState = this.run?.targetState();
     if (this.answerBegan) {
       this.finish({ type: 'broken', verdict: 'ran' });
       return;
     }
     const verdict: Verdict = failure.written ? 'may-have-run' : 'not-run';
-    if (!failure.written) this.entry.claim?.release();
+    if (!failure.written) this.callAdmission.claim?.release();
     if (failure.reason === 'caller-gone') this.refuse(bodyBrokeRefusal(verdict));
     else if (targetState === undefined) {
-      this.finishRefused(judgeBrokenRun(verdict, false, false).refusal);
+      this.finishRefused(classifyBrokenConnection(verdict, false, false).refusal);
     } else void targetState.then((state) => this.refuseAfterBreak(verdict, state));
   }
 
   private refuseAfterBreak(verdict: Verdict, state: TargetState): void {
-    const isLikelyCause = this.rules.isLikelyCause(this.run!, state.underWay);
-    const { refusal, crashNote } = judgeBrokenRun(verdict, state.isDown, isLikelyCause);
-    this.report.crashNote = crashNote;
+    const isLikelyCause = this.hooks.isLikelyCause(this.run!, state.underWay);
+    const { refusal, crashNote } = classifyBrokenConnection(verdict, state.isDown, isLikelyCause);
+    this.outcomeBuilder.crashNote = crashNote;
     this.finishRefused(refusal);
   }
 
   private onDeadline(): void {
     if (this.finished) return;
     // Learned like the status of a target that gives up waiting itself (RFC 9110, section 15.6.5).
-    if (!this.answerBegan) this.learnFrom(HttpStatus.GatewayTimeout);
+    if (!this.answerBegan) this.recordAnswer(HttpStatus.GatewayTimeout);
     this.giveUp(deadlineRefusal);
   }
 
@@ -204,21 +204,21 @@
 
   /** Stops whatever the call is doing. */
   private stop(outcome: SampleOutcome): void {
-    this.entry.withdraw();
+    this.callAdmission.cancelWait();
     this.deadlineTimer?.cancel();
-    if (this.attempt?.written !== true) this.entry.claim?.release();
+    if (this.attempt?.written !== true) this.callAdmission.claim?.release();
     this.attempt?.cancel();
     this.run?.end(RunEnd.Lost);
-    this.leave(outcome);
+    this.release(outcome);
   }
 
   /** Gives back what the call holds of the target's room. Further calls do nothing. */
-  private leave(outcome: SampleOutcome): void {
-    this.entry.leave(outcome, this.nested.totalMs());
+  private release(outcome: SampleOutcome): void {
+    this.callAdmission.release(outcome, this.nested.totalMs());
   }
 
   private refuse({ refusal, isOverload }: GateRefusal): void {
-    this.report.refusedForOverload ||= isOverload;
+    this.outcomeBuilder.refusedForOverload ||= isOverload;
     this.finishRefused(refusal);
   }
 
@@ -231,12 +231,12 @@
     this.markFinished();
     this.deadlineTimer?.cancel();
     this.run?.end(RunEnd.Lost);
-    this.leave('cancelled');
+    this.release('cancelled');
     this.listener(result);
   }
 
   private markFinished(): void {
     this.finished = true;
-    this.entry.close();
+    this.callAdmission.close();
   }
 }
--- a/src/gate/inbound-services.ts
+++ b/src/gate/inbound-services.ts
@@ -9,9 +9,9 @@
 import type { Verdict } from '../common/verdict.js';
 import type { KeyClaims } from '../dedup/claim.js';
 import type { WatchedRun } from '../quarantine/crash-watch.js';
-import type { KindServices } from './kind-use.js';
+import type { KindLimitServices } from './kind-use.js';
 import type { Refusal } from '../call/refusal.js';
-import type { RepeatServices } from './repeat-use.js';
+import type { RetryBudgetServices } from './repeat-use.js';
 
 /** What the calls to one target share. */
 export interface InboundServices {
@@ -33,7 +33,7 @@
 }
 
 /** What the calls of one sidecar's gate share. */
-export interface GateServices extends InboundServices, KindServices, RepeatServices {
+export interface GateServices extends InboundServices, KindLimitServices, RetryBudgetServices {
   /** Another instance answered at the target's address. */
   readonly onMisdirected: (expectedIncarnation: string) => void;
   /**
--- a/src/gate/kind-tolerance.ts
+++ b/src/gate/kind-tolerance.ts
@@ -17,7 +17,7 @@
  * Part of the target's calls that may be congested before requests are limited, by importance, least first: the less
  * urgent ones make room first.
  */
-const TOLERATED_LEVEL: readonly number[] = [0.1, 0.1, 0.3, 0.5];
+const CONGESTION_THRESHOLDS: readonly number[] = [0.1, 0.1, 0.3, 0.5];
 
 /**
  * A kind whose runs take most of its time without any wait needs more than that part: this multiple of its usual time, and no
@@ -56,6 +56,6 @@
  * Whether so many of the target's calls are congested that requests of this importance are limited.
  * @param level part of the target's calls that are congested, 0 to 1
  */
-export function isAboveTolerated(level: number, importance: Importance): boolean {
-  return level > TOLERATED_LEVEL[importance]!;
+export function isCongestionAboveThreshold(level: number, importance: Importance): boolean {
+  return level > CONGESTION_THRESHOLDS[importance]!;
 }
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -7,11 +7,15 @@
 import type { Clock } from '../common/clock.js';
 import type { CallContext } from '../call/call-context.js';
 import type { KindRefusal } from './kind-refusal.js';
-import { isAboveTolerated, missesObjective, maxTimeInTargetMs } from './kind-tolerance.js';
+import {
+  isCongestionAboveThreshold,
+  missesObjective,
+  maxTimeInTargetMs,
+} from './kind-tolerance.js';
 import { HttpStatus } from '../common/http-status.js';
 
 /** What the gate keeps of all kinds. */
-export interface KindServices {
+export interface KindLimitServices {
   readonly clock: Clock;
   /** Part of the calls that the target makes which are congested, 0 to 1. */
   readonly downstreamLevel: () => number;
@@ -21,14 +25,14 @@
   readonly kindLimiter: KindLimiter;
 }
 
-export class KindUse {
+export class CallKindLimit {
   /** Whether the kind limiter counts the call as under way. */
   private isCounted = false;
   /** Time that the call should be in the target at most, in milliseconds. */
   private maxTargetMs = Infinity;
 
   constructor(
-    private readonly services: KindServices,
+    private readonly services: KindLimitServices,
     private readonly context: CallContext,
   ) {}
 
@@ -36,7 +40,7 @@
    * Counts the call as under way; says why not where its kind is at its limit.
    * @param isNested whether a target makes the call: those are never limited by kind
    */
-  enter(isNested: boolean): KindRefusal | undefined {
+  acquire(isNested: boolean): KindRefusal | undefined {
     const { kindLimiter, clock, downstreamLevel } = this.services;
     if (isNested) return undefined;
     const usualMs = this.services.kindImpact.usualMs(this.context.kind);
@@ -53,24 +57,24 @@
 
   /**
    * The target has answered: learns how its own calls delay calls of this kind.
-   * @param heldMs time that the call was in the target, in milliseconds
+   * @param timeInTargetMs time that the call was in the target, in milliseconds
    */
-  onAnswer(status: number, heldMs: number): void {
+  onAnswer(status: number, timeInTargetMs: number): void {
     const { kindImpact, kindLimiter, downstreamLevel } = this.services;
     const { kind } = this.context;
     const level = downstreamLevel();
-    kindImpact.onAnswer(kind, heldMs, status, isCalm(level));
+    kindImpact.onAnswer(kind, timeInTargetMs, status, isCalm(level));
     if (!this.isCounted) return;
     kindLimiter.onAnswer(kind, {
       maxTargetMs: this.maxTargetMs,
-      heldMs,
+      heldMs: timeInTargetMs,
       succeeded: status < HttpStatus.InternalServerError,
       isCongested: this.isCongested(level),
     });
   }
 
   /** The call is no longer under way. */
-  leave(): void {
+  release(): void {
     if (this.isCounted) this.services.kindLimiter.leave(this.context.kind);
     this.isCounted = false;
   }
@@ -79,6 +83,6 @@
   private isCongested(level: number): boolean {
     const { kind, importance } = this.context;
     const impact = this.services.kindImpact.of(kind);
-    return isAboveTolerated(level, importance) && impact > 0;
+    return isCongestionAboveThreshold(level, importance) && impact > 0;
   }
 }
--- a/src/gate/repeat-use.ts
+++ b/src/gate/repeat-use.ts
@@ -8,14 +8,14 @@
 import type { CallContext } from '../call/call-context.js';
 
 /** What the gate keeps of all calls. */
-export interface RepeatServices {
+export interface RetryBudgetServices {
   /** Bounds the repeats that reach the target. */
   readonly retryBudget: ServiceRetryBudget;
   /** Learns how many of the target's runs are repeats. */
   readonly repeatedRuns: RepeatedRuns;
 }
 
-export class RepeatUse {
+export class CallRetryBudget {
   private readonly source: ArrivalSource;
   /** Whether the budget counts a repeat that has not arrived yet. */
   private holdsRepeat = false;
@@ -24,7 +24,7 @@
 
   /** @param isNested whether a target makes the call */
   constructor(
-    private readonly services: RepeatServices,
+    private readonly services: RetryBudgetServices,
     private readonly context: CallContext,
     isNested: boolean,
   ) {
@@ -37,7 +37,7 @@
   }
 
   /** Whether the call is no repeat, or one that the budget allows. */
-  tryEnter(): boolean {
+  tryAcquire(): boolean {
     const { retryBudget } = this.services;
     if (this.context.isRepeat !== true) return true;
     this.holdsRepeat = retryBudget.tryRepeat(this.source);
@@ -45,7 +45,7 @@
   }
 
   /** The call is about to arrive at the target. */
-  onArrival(): void {
+  onDispatch(): void {
     const { retryBudget, repeatedRuns } = this.services;
     const { kind, isRepeat, inheritedShare = 0 } = this.context;
     this.holdsRepeat = false;
@@ -55,7 +55,7 @@
   }
 
   /** The call is no longer in the target, or will not get there. */
-  leave(): void {
+  release(): void {
     if (this.holdsRepeat) this.services.retryBudget.giveBack(this.source);
     this.holdsRepeat = false;
     if (this.runShare !== undefined) {
--- a/src/gate/target-room.ts
+++ b/src/gate/target-room.ts
@@ -9,6 +9,6 @@
  * nothing about capacity: taken for overload, it made callers hold back nine of ten calls of a service whose slots stood
  * empty (1,128 rejections in 9 s, where 5,000 calls were wanted).
  */
-export function isTargetFull({ inFlight, limit, waiting }: AdmissionStatus): boolean {
+export function isTargetNearCapacity({ inFlight, limit, waiting }: AdmissionStatus): boolean {
   return waiting > 0 || inFlight >= FULL_PART * limit;
 }
--- a/test/gate/restart-with-long-runs.test.ts
+++ b/test/gate/restart-with-long-runs.test.ts
@@ -11,7 +11,7 @@
 import { RunOutcomes } from '../../src/admission/run-outcomes.js';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import { KindUse } from '../../src/gate/kind-use.js';
+import { CallKindLimit } from '../../src/gate/kind-use.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 
 const RUN_MS = 4_600;
@@ -33,12 +33,12 @@
     const context = { kind: 'read', importance: 2, objectiveMs: 3_000 } as CallContext;
     let letIn = 0;
     for (let at = 0; at < WATCHED_MS; at += GAP_MS) {
-      const use = new KindUse(services, { ...context, deadlineAt: clock.now() + 6_000 });
-      if (use.enter(false) === undefined) {
+      const use = new CallKindLimit(services, { ...context, deadlineAt: clock.now() + 6_000 });
+      if (use.acquire(false) === undefined) {
         letIn += 1;
         clock.schedule(RUN_MS, () => {
           use.onAnswer(200, RUN_MS);
-          use.leave();
+          use.release();
         });
       }
       clock.advance(GAP_MS);
