--- a/src/gate/arrival-rules.ts
+++ b/src/gate/arrival-rules.ts
@@ -1,33 +1,34 @@
 /**
- * The rules that a gate asks before a call counts for anything, in their order. Pure.
+ * Checks that a gate runs, in this order, before it starts a call. Pure.
  *
- * 1. A target: without one nothing can be asked, and callers are to leave this endpoint alone until its next
+ * 1. Target: without one the reason `leaving` keeps callers away from this endpoint until its next
  *    incarnation.
- * 2. The service that was meant: the target may have been replaced by one of another service since the caller chose.
- * 3. Quarantine, last, since it costs a look-up: targets crash under the request.
+ * 2. Service: the target may have been replaced by one of another service since the caller picked
+ *    the endpoint.
+ * 3. Quarantine: last, since it needs a lookup.
  */
 import { CrashNote } from '../call/outcome.js';
 import type { RefusalReason } from '../call/refusal.js';
 
-/** What the rules are asked on. */
+/** Input of the checks. */
 interface Arrival {
-  /** Service that the caller meant. */
+  /** Service that the caller requested. */
   readonly service: string | undefined;
-  /** Service of the present target; undefined while there is none. */
+  /** Service of the current target; undefined while there is none. */
   readonly presentService: string | undefined;
-  /** Whether the request is kept from targets. */
+  /** Whether the request is in quarantine. */
   readonly isQuarantined: () => boolean;
 }
 
-/** Why the call is not begun. */
+/** Why the call is not started. */
 export interface ArrivalRefusal {
   readonly reason: RefusalReason;
   readonly detail: string;
-  /** What the callers of other targets are to know. */
+  /** Crash information to report to the caller. */
   readonly crashNote: CrashNote | undefined;
 }
 
-/** @returns undefined where the call may begin */
+/** @returns undefined if the call may start */
 export function checkArrival(arrival: Arrival): ArrivalRefusal | undefined {
   const { service, presentService, isQuarantined } = arrival;
   if (presentService === undefined) {
--- a/src/gate/broken-run.ts
+++ b/src/gate/broken-run.ts
@@ -1,10 +1,10 @@
-/** What a gate answers when the connection to its target broke before an answer began. Pure. */
+/** Classifies a connection to the target that broke before the answer began. Pure. */
 import type { Verdict } from '../common/verdict.js';
 import { CrashNote } from '../call/outcome.js';
 import type { Refusal } from '../call/refusal.js';
 import { SOON_SECONDS } from '../call/retry-after.js';
 
-/** The refusal, and what it tells the caller of the target. */
+/** The refusal, and the crash information to report to the caller. */
 export interface BrokenConnectionRefusal {
   readonly refusal: Refusal;
   readonly crashNote: CrashNote | undefined;
@@ -12,7 +12,7 @@
 
 /**
  * @param verdict whether the request may have run
- * @param isDown whether the target refuses connections, or another incarnation is in its place
+ * @param isDown whether the target refuses connections, or was replaced by another incarnation
  * @param isLikelyCause whether the target may have crashed because of the request
  */
 export function classifyBrokenConnection(
--- a/src/gate/call-entry.ts
+++ b/src/gate/call-entry.ts
@@ -1,19 +1,21 @@
 /**
- * The rules that a call passes on its way into the target, in the order in which they are asked. Each ends the call with
- * one typed refusal (`gate-refusals.ts`), or lets it on. Owns what the call holds while it is let in: its part of the
- * limit by kind and of the retry budget, its permit, and its claim. Pure: clock, admission and claims are injected.
+ * Admits one inbound call to the target. Runs the checks below in order; the first that fails ends
+ * the call with one typed refusal (`gate/gate-refusals.ts`). Holds what the call has acquired: its
+ * place in the limit by kind and in the retry budget, its permit, and its claim. Pure: clock,
+ * admission and claims are injected.
  *
- * A gate asks three rules before there is a call, in `arrival-rules.ts`: whether there is a target, whether it is of the
- * service that was meant, and whether the request is in quarantine. Then, here:
+ * A gate runs further checks before it starts a call (`gate/arrival-rules.ts`). The checks here:
  *
- * 1. Leaving, first: a process that stops must not begin what it can't finish.
- * 2. Slow target: a call that the target can't be expected to answer is to go elsewhere at once.
- * 3. Limit by kind, before the queue: what it keeps out is to go elsewhere at once and not to wait first.
- * 4. Retry budget, after the rules that set nothing aside: a repeat that it lets in counts until it arrives or ends.
- * 5. Admission: a slot of the target, at once or after a wait. The call holds a permit from here on, and its deadline is
- *    watched.
- * 6. Claim of the idempotency key, last: a claimed key says that its call may have run, so only a call that is about to be
- *    sent claims one.
+ * 1. Leaving: a process that is stopping must not start calls that it cannot finish.
+ * 2. Slow target: a call that the target is not expected to answer is refused at once, so that its
+ *    caller can send it elsewhere.
+ * 3. Limit by kind: before the queue, so that a call is not refused after it has already waited.
+ * 4. Retry budget: after the checks above, so that repeats that they refuse are not charged. A
+ *    charged repeat is refunded if it is never sent to the target.
+ * 5. Admission controller: a slot of the target, at once or after a wait. From here on the call
+ *    holds a permit, and its deadline timer runs.
+ * 6. Idempotency key: last, because a claimed key means that its call may have run. Only a call
+ *    that is about to be sent claims one.
  */
 import type {
   AdmissionPermit,
@@ -35,13 +37,13 @@
 } from './gate-refusals.js';
 import type { InboundServices } from './inbound-services.js';
 
-/** Told how far the call gets, possibly before {@link CallAdmission.start} returns. */
+/** Notified of the progress of the call, possibly before {@link CallAdmission.start} returns. */
 interface CallAdmissionListener {
   /** The call holds a permit. @param wasDelayed whether its wait counts as congestion */
   onAdmitted(wasDelayed: boolean): void;
-  /** Every rule has let the call in: it is to be sent now. */
+  /** All checks have passed: the call is to be sent now. */
   onReady(): void;
-  /** A rule has refused the call. Nothing follows. */
+  /** A check has failed. No further notification follows. */
   onRefused(refusal: GateRefusal): void;
 }
 
@@ -67,17 +69,17 @@
     this.startedAt = services.clock.now();
   }
 
-  /** The claim of the call's key, to be told what becomes of the call. */
+  /** The claim on the call's idempotency key; undefined if it holds none. */
   get claim(): ClaimHandle | undefined {
     return this.heldClaim;
   }
 
-  /** When the permit was given, in milliseconds of the clock. */
+  /** When the permit was granted, in monotonic milliseconds. */
   get admittedAt(): number {
     return this.permitAt;
   }
 
-  /** Asks the rules in their order. */
+  /** Runs the checks in order. */
   start(): void {
     const refusal =
       this.checkLeaving() ??
@@ -88,12 +90,12 @@
     else this.listener.onRefused(refusal);
   }
 
-  /** Gives up waiting for a permit. */
+  /** Stops waiting for a permit. */
   cancelWait(): void {
     this.pending?.cancel();
   }
 
-  /** Gives back what the call holds, but for its claim. Further calls do nothing. */
+  /** Releases what the call holds, except its claim. Further calls have no effect. */
   release(outcome: SampleOutcome, nestedMs: number): void {
     this.hooks.release();
     const { permit } = this;
@@ -101,7 +103,7 @@
     permit?.release(outcome, nestedMs);
   }
 
-  /** The call is over: a decision on its claim that comes later counts no more. */
+  /** The call has ended: a later decision on its claim is ignored. */
   close(): void {
     this.isClosed = true;
   }
--- a/src/gate/call-report.ts
+++ b/src/gate/call-report.ts
@@ -1,6 +1,6 @@
 /**
- * What an inbound call tells its caller besides the answer: whether it met overload, how loaded its target is, and the
- * retries that it has not spent. Owns what was seen of the call; relies on admission and the call's rules for the load.
+ * Collects what is observed during an inbound call, and builds the outcome that its caller gets
+ * with the answer: overload, load of the target, and unspent retries.
  */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import type { CrashNote, LoadReport, Outcome } from '../call/outcome.js';
@@ -10,13 +10,13 @@
 import type { CallHooks } from './call-rules.js';
 
 export class OutcomeBuilder {
-  /** A call that the target made on behalf of this one met overload. */
+  /** Whether a call that the target made on behalf of this one met overload. */
   nestedOverload = false;
-  /** The call was refused for overload, here or by the target. */
+  /** Whether the call was refused for overload, by this process or by the target. */
   refusedForOverload = false;
-  /** The target turned the call away itself. */
+  /** Whether the target itself rejected the call. */
   rejectedByTarget = false;
-  /** The call waited long to be let in. */
+  /** Whether the wait for admission counts as congestion. */
   wasDelayed = false;
   crashNote: CrashNote | undefined;
 
@@ -26,7 +26,7 @@
     private readonly allowance: RetryAllowance,
   ) {}
 
-  /** The outcome to send with the answer. Ends the loan of retries: none can be spent after it. */
+  /** Builds the outcome and ends the retry allowance: no retry can be spent afterwards. */
   takeOutcome(verdict: Verdict, refusal: RefusalReason | undefined): Outcome {
     const congestion = this.hooks.congestion();
     return {
--- a/src/gate/call-rules.ts
+++ b/src/gate/call-rules.ts
@@ -1,46 +1,62 @@
 /**
- * What an inbound call asks and tells besides admission, claims and its target. The gate of a sidecar has rules of its
- * own (`gate-call-rules.ts`); the inbound side of `shoredoor node` has none, which {@link NODE_CALL_RULES} stands for.
+ * Per-call checks and callbacks of an inbound call, besides admission, claims and the target. A
+ * sidecar's gate implements them in `gate/gate-call-rules.ts`; `shoredoor node` uses
+ * {@link NODE_CALL_RULES}, which limit and track nothing.
  */
 import type { WatchedRun } from '../quarantine/crash-watch.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { KindRefusal } from './kind-refusal.js';
 
-/** The rules for one call. */
+/** Checks and callbacks for one call. */
 export interface CallHooks {
-  /** Whether a target makes the call. */
+  /** Whether a target makes the call, and not a client. */
   readonly isNested: boolean;
-  /** Which repeats the retry budget of the target's service would let through now. */
+  /** Which repeats the retry budget of the target's service allows now. */
   readonly repeatRoom: RepeatRoom;
-  /** Whether the target can be expected to answer the call. */
+  /** Whether the target is expected to answer the call. */
   isTargetResponsive(): boolean;
-  /** Asks the limit of the call's kind, and counts the call as under way; says why not where it is refused. */
+  /** Counts the call against the limit of its kind. @returns the cause if the limit is reached */
   acquireKindLimit(): KindRefusal | undefined;
-  /** Asks the retry budget; false where the call is a repeat that it has no room for. */
+  /**
+   * Charges the call to the retry budget if it is a repeat.
+   * @returns false if the budget has no room
+   */
   tryAcquireRetryBudget(): boolean;
-  /** The call holds a permit. @returns whether its wait counts as congestion */
+  /** The call was granted a permit. @returns whether its wait counts as congestion */
   onAdmitted(waitedMs: number): boolean;
-  /** The call was refused for want of room or time. */
+  /** The admission controller refused the call: no slot in time, or too little time left. */
   onNotAdmitted(): void;
-  /** The call is about to arrive at the target. @returns its run, where crashes of the target are watched */
+  /**
+   * The call is about to be sent to the target.
+   * @returns the watched run; undefined if crashes of the target are not watched
+   */
   onDispatch(): WatchedRun | undefined;
-  /** The target has answered. @param timeInTargetMs time that the call was in the target, in milliseconds */
+  /**
+   * The target answered, or did not before the deadline (status 504).
+   * @param timeInTargetMs time since the call was admitted, in milliseconds
+   */
   onAnswer(status: number, timeInTargetMs: number): void;
   /** Another target answered at the address of the expected incarnation. */
   onMisdirected(expectedIncarnation: string): void;
-  /** Whether the target may have crashed because of the run. @param underWay requests it was at work on */
+  /**
+   * Whether the target may have crashed because of the run.
+   * @param underWay different requests in the target when it crashed
+   */
   isLikelyCause(run: WatchedRun, underWay: number): boolean;
-  /** The call has left the target, or will not get there. May come more than once. */
+  /** The call has left the target, or will not reach it. May be called more than once. */
   release(): void;
-  /** Congestion to report to the caller, 0 to 1; undefined where none is kept. */
+  /** Congestion to report to the caller, 0 to 1; undefined if it is not tracked. */
   congestion(): number | undefined;
 }
 
 function noop(): void {
-  // The inbound side of a node keeps nothing of its calls.
+  // The inbound side of a node tracks nothing per call.
 }
 
-/** The inbound side of `shoredoor node`: no limits by kind, no retry budget, no watch for crashes, no levels. */
+/**
+ * For `shoredoor node`: no limit by kind, no retry budget, no crash detection, no congestion
+ * levels.
+ */
 export const NODE_CALL_RULES: CallHooks = {
   isNested: false,
   repeatRoom: RepeatRoom.Runs,
--- a/src/gate/gate-call-rules.ts
+++ b/src/gate/gate-call-rules.ts
@@ -1,6 +1,6 @@
 /**
- * The rules that the gate of a sidecar has for one call: the limit by kind, the retry budget, the watch for crashes, and
- * the congestion that it reports. Owns what the call counts towards each; relies on the parts that all calls share.
+ * The call hooks of a sidecar's gate: limit by kind, retry budget, crash detection, and the
+ * congestion that is reported to the caller.
  */
 import type { CongestionLevel } from '../admission/congestion-level.js';
 import { RunResult } from '../admission/run-outcomes.js';
@@ -15,16 +15,17 @@
 import { CallKindLimit } from './kind-use.js';
 import { CallRetryBudget } from './repeat-use.js';
 
-/** What a gate knows of a call besides its context. */
+/** Properties of a call at a gate that are not part of its context. */
 export interface GateCallOptions {
   /** Whether a target makes the call. */
   readonly isNested: boolean;
   /**
-   * Whether a target made it as far as the few calls of its kind tell that were seen yet. The limit by kind leaves such calls
-   * alone: after a start, it refused them until enough had come, and their callers' work was lost. Default: `isNested`.
+   * Whether the few calls of its kind observed so far suggest that a target makes the call. The
+   * limit by kind does not apply then: after a start it would refuse nested calls until enough of
+   * them have been observed, and the work of their callers would be lost. Default: `isNested`.
    */
   readonly isPresumedNested?: boolean;
-  /** A call that waits longer than this to be let in reports overload, in milliseconds. */
+  /** Wait for admission above which the call reports overload, in milliseconds. */
   readonly congestedAfterMs: number;
 }
 
@@ -104,7 +105,7 @@
     return reportedCongestion(this.services, this.context.kind, this.isNested, queueLevel);
   }
 
-  /** Tells once how the call has left the target. */
+  /** Records once how the run in the target ended. */
   private endRun(result: RunResult): void {
     if (this.arrivedAt === undefined) return;
     const { runOutcomes, clock } = this.services;
@@ -117,7 +118,10 @@
   }
 }
 
-/** What the status of a target's answer says of its run: targets give up themselves at the deadline, and say so. */
+/**
+ * Result of a run by the status of its answer: 504 means that the target itself gave up at the
+ * deadline.
+ */
 function runResultOf(status: number): RunResult {
   if (status === HttpStatus.GatewayTimeout) return RunResult.GivenUp;
   return status < HttpStatus.InternalServerError ? RunResult.Answered : RunResult.Failed;
--- a/src/gate/gate-congestion.ts
+++ b/src/gate/gate-congestion.ts
@@ -1,16 +1,18 @@
-/** The congestion level that a gate reports with each outcome. Pure. */
+/** Computes the congestion level that a gate reports with each outcome. Pure. */
 import type { KindLimitServices } from './kind-use.js';
 
 /**
- * The level of what waits here and downstream. What waits here concerns
- * those that work is lost with: callers of nested calls. A client's request that is refused here has
- * cost nothing yet, so it need not be refused any earlier.
+ * Combines the congestion of the gate's own queue with that of the calls downstream.
  *
- * A call that a target made passes the downstream level on in full if it is delayed by it at all: weighed at each
- * of several gates the level would be gone before it reaches those that can refuse early. It is weighed
- * once, at the gate of the client's request.
+ * The queue counts for nested calls only: refusing one loses the work that its caller has already
+ * done. A client request that is refused here has cost nothing yet, so it need not be refused any
+ * earlier.
  *
- * @param queueLevel part of the calls of this importance that wait long or are refused here, 0 to 1
+ * A nested call reports the downstream level in full if its kind is delayed by it at all. If each
+ * gate along a chain scaled the level, little of it would reach the processes that can refuse
+ * early. It is scaled once, at the gate of the client's request.
+ *
+ * @param queueLevel fraction of the calls of this importance, 0 to 1, that wait long or are refused
  */
 export function reportedCongestion(
   { downstreamLevel, kindImpact }: KindLimitServices,
--- a/src/gate/gate-refusals.ts
+++ b/src/gate/gate-refusals.ts
@@ -1,7 +1,7 @@
 /**
- * Every refusal by which a call ends at the process beside its target, one function a rule: its reason, whether the
- * request may have run, when it may come again, and the cause as log lines give it. Pure. `broken-run.ts` has those of a
- * connection to the target that broke, `arrival-rules.ts` those of a gate before there is a call.
+ * Builds the refusals of inbound calls, one function for each cause. Those of a connection to the
+ * target that broke are in `gate/broken-run.ts`, those of a gate before it starts a call in
+ * `gate/arrival-rules.ts`. Pure.
  */
 import type { AdmissionRefusal } from '../admission/admission-controller.js';
 import type { Refusal, RefusalReason } from '../call/refusal.js';
@@ -11,7 +11,7 @@
 import type { ClaimDecision } from '../dedup/claim.js';
 import { kindRefusalDetail, type KindRefusal } from './kind-refusal.js';
 
-/** A refusal, and whether it tells callers of overload. */
+/** A refusal, and whether callers are to treat it as overload. */
 export interface GateRefusal {
   readonly refusal: Refusal;
   readonly isOverload: boolean;
@@ -23,12 +23,12 @@
   leaving: 'The target is leaving.',
 };
 
-/** The process takes no more calls of the kind. */
+/** The process accepts no more calls of this kind. */
 export function leavingRefusal(): GateRefusal {
   return retryableRefusal('leaving', 'not-run', 'The target is leaving.');
 }
 
-/** The target takes too long at present. */
+/** The target is too slow at present to answer in time. */
 export function slowTargetRefusal(): GateRefusal {
   return retryableRefusal(
     'unavailable',
@@ -37,7 +37,7 @@
   );
 }
 
-/** The limit by kind is reached. */
+/** The limit of the call's kind is reached. */
 export function kindLimitRefusal(reached: KindRefusal): GateRefusal {
   return overload(retryableRefusal('overload', 'not-run', kindRefusalDetail(reached)));
 }
@@ -51,7 +51,10 @@
   );
 }
 
-/** Admission has no slot for the call in its time. @param retryAfterSeconds as admission says */
+/**
+ * The admission controller refused the call.
+ * @param retryAfterSeconds as returned by the admission controller
+ */
 export function notAdmittedRefusal(
   reason: AdmissionRefusal,
   retryAfterSeconds: number,
@@ -61,7 +64,7 @@
   return { refusal, isOverload: reason !== 'leaving' };
 }
 
-/** The idempotency key was not granted. */
+/** The claim on the idempotency key was not granted. */
 export function claimRefusal(decision: Exclude<ClaimDecision, { type: 'granted' }>): GateRefusal {
   if (decision.type === 'unknown')
     return retryableRefusal('duplicate-unknown', 'not-run', decision.detail);
@@ -69,8 +72,8 @@
 }
 
 /**
- * What came back is not the target's answer to the request.
- * @param isTargetNearCapacity whether the target can be short of room
+ * The answer is not the target's answer to this request.
+ * @param isTargetNearCapacity whether a rejection by the target can be due to overload
  */
 export function answerFaultRefusal(fault: AnswerFault, isTargetNearCapacity: boolean): GateRefusal {
   if (fault === 'foreign') {
@@ -82,7 +85,7 @@
   return overload(retryableRefusal('overload', 'not-run', detail));
 }
 
-/** The request's body could not be read to its end. */
+/** The request body could not be read completely. */
 export function bodyBrokeRefusal(verdict: Verdict): GateRefusal {
   return finalRefusal('bad-request', verdict, 'The request body broke off.');
 }
@@ -92,18 +95,18 @@
   return retryableRefusal('deadline', verdict, 'The target did not answer before the deadline.');
 }
 
-/** This process ends before the call does. */
+/** The process exits before the target has answered. */
 export function processEndRefusal(verdict: Verdict): GateRefusal {
   return retryableRefusal('leaving', verdict, 'The process had to end before the target answered.');
 }
 
-/** The caller may come again soon. */
+/** A refusal after which the caller may retry soon. */
 function retryableRefusal(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
   const refusal: Refusal = { reason, verdict, retryAfterSeconds: SOON_SECONDS, detail };
   return { refusal, isOverload: false };
 }
 
-/** Coming again does not help. */
+/** A refusal after which a retry does not help. */
 function finalRefusal(reason: RefusalReason, verdict: Verdict, detail: string): GateRefusal {
   const refusal: Refusal = { reason, verdict, retryAfterSeconds: NO_RETRY_AFTER, detail };
   return { refusal, isOverload: false };
--- a/src/gate/gate-server.ts
+++ b/src/gate/gate-server.ts
@@ -1,8 +1,7 @@
 /**
- * The inbound side of a sidecar: takes routed calls from other sidecars for the target of its
- * machine. It alone sends to that target, so it decides what enters and in which order: `arrival-rules.ts` and
- * `call-entry.ts` have the rules. Owns the exchanges under way; relies on the link server for frames, and counts and logs
- * how each call ended.
+ * The inbound side of a sidecar: accepts routed calls from other sidecars for the target of its
+ * machine. All calls to that target pass through it, so it decides which are admitted, and in which
+ * order (`gate/arrival-rules.ts`, `gate/call-entry.ts`). Counts and logs how each call ended.
  */
 import { GateTransport, type GateTransportOptions } from './gate-transport.js';
 import type { IncomingLinkCall } from '../link/incoming-link-call.js';
@@ -20,16 +19,16 @@
 import type { RefusalReason } from '../call/refusal.js';
 import type { RequestJournal } from '../call/request-journal.js';
 
-/** What the gate is made of. */
+/** Dependencies of a gate. */
 export interface GateServerOptions {
   readonly services: GateServices;
   readonly transport: GateTransportOptions;
   readonly stats: CallStats;
-  /** Service of the present target; undefined while there is none. */
+  /** Service of the current target; undefined while there is none. */
   readonly service: () => string | undefined;
   readonly journal: RequestJournal;
   readonly origins: OriginTracker;
-  /** Learns how long calls take. */
+  /** Records how long calls take. */
   readonly durations: CallDurations;
 }
 
@@ -51,13 +50,13 @@
     exchange.start(() => this.underWay.delete(exchange));
   };
 
-  /** The process is about to end: answers each call under way, truly, that it can't be waited for. */
+  /** Ends all calls in flight because the process is about to exit. */
   endWithProcess(): void {
     for (const exchange of [...this.underWay]) exchange.endWithProcess();
   }
 }
 
-/** One call under way through the gate. */
+/** One call in flight through the gate. */
 class GateExchange {
   private readonly startedAt: number;
   private isOver = false;
--- a/src/gate/gate-transport.ts
+++ b/src/gate/gate-transport.ts
@@ -1,4 +1,4 @@
-/** Sends one routed call from a sidecar to its target, and judges the answer's head. */
+/** Sends one routed call from a sidecar to its target, and checks the head of the answer. */
 import type { CallContext } from '../call/call-context.js';
 import type { Attempt, AttemptListener, TargetTransport } from '../call/transport.js';
 import type { Clock } from '../common/clock.js';
@@ -7,13 +7,16 @@
 import { RelayHandler, type RelayPolicy } from '../http/relay-handler.js';
 import { answerFault, isFramed, type TargetHeaders } from '../http/target-headers.js';
 
-/** What the calls of one sidecar to its target share. */
+/** Shared by all calls of one sidecar to its target. */
 export interface GateTransportOptions {
   readonly clock: Clock;
   readonly names: TargetHeaders;
-  /** Connections to the present target, and the instance that is expected there. */
+  /**
+   * Connections to the current target, and the instance expected there; undefined while there is
+   * none.
+   */
   readonly target: () => TargetConnection | undefined;
-  /** Whether an answer without a length may be whole. */
+  /** Whether an answer without a declared length may be complete. */
   readonly allowsUnframed: boolean;
 }
 
--- a/src/gate/inbound-call.ts
+++ b/src/gate/inbound-call.ts
@@ -1,8 +1,6 @@
 /**
- * One call through the process beside its target: from the rules that let it in (`call-entry.ts`), through the attempt at
- * the target, to its one result. Owns the attempt, the run that is watched for crashes, and the deadline; relies on
- * `gate-refusals.ts` for what is refused and on `call-report.ts` for what the caller is told. Pure: transport, clock and
- * admission are injected.
+ * One call through the process beside its target: its admission (`gate/call-entry.ts`), the attempt
+ * at the target, and its single result. Pure: transport, clock and admission are injected.
  */
 import type { SampleOutcome } from '../admission/concurrency-limiter.js';
 import type { CallContext } from '../call/call-context.js';
@@ -37,7 +35,7 @@
 import { HttpStatus } from '../common/http-status.js';
 
 export class InboundCall {
-  /** Retries that the calls made by the target share. */
+  /** Retries shared by the calls that the target makes on behalf of this one. */
   readonly allowance: RetryAllowance;
   private readonly nested: NestedTime;
   private readonly outcomeBuilder: OutcomeBuilder;
@@ -52,7 +50,7 @@
   /**
    * @param claimKey scope and idempotency key of a call that may run at most once; undefined for
    *   all other calls
-   * @param hooks what the process asks and learns of the call
+   * @param hooks checks and callbacks of the process
    */
   constructor(
     readonly context: CallContext,
@@ -72,24 +70,24 @@
     });
   }
 
-  /** Starts the call. The listener may hear the result before this returns. */
+  /** Starts the call. The listener may be called before this returns. */
   start(): void {
     this.callAdmission.start();
   }
 
-  /** The caller went away: stops everything below. The listener hears nothing more. */
+  /** The caller has disconnected: aborts the call. The listener is not called. */
   cancel(): void {
     if (this.finished) return;
     this.markFinished();
     this.stop('cancelled');
   }
 
-  /** This process is about to end: gives the call up with a final answer. */
+  /** The process is about to exit: ends the call with a final result. */
   endWithProcess(): void {
     this.giveUp(processEndRefusal);
   }
 
-  /** The target began a call of its own on behalf of this one. */
+  /** The target started a call on behalf of this one. */
   onNestedStart(): void {
     this.nested.start();
   }
@@ -100,7 +98,10 @@
     this.outcomeBuilder.nestedOverload ||= overloaded;
   }
 
-  /** The outcome to send with the answer. Ends the loan of retries: none can be spent after it. */
+  /**
+   * Builds the outcome to send with the answer, and ends the retry allowance: no retry can be spent
+   * afterwards.
+   */
   takeOutcome(verdict: Verdict, refusal: RefusalReason | undefined): Outcome {
     return this.outcomeBuilder.takeOutcome(verdict, refusal);
   }
@@ -137,17 +138,17 @@
     return 'relay';
   }
 
-  /** The target has answered, or has not in time. */
+  /** The target answered, or did not before the deadline. */
   private recordAnswer(status: number): void {
     this.hooks.onAnswer(status, this.services.clock.now() - this.callAdmission.admittedAt);
   }
 
   private onFaultyAnswer(fault: AnswerFault, expectedIncarnation: string | undefined): void {
-    // Asked before the call gives its own slot back.
+    // Read before the call releases its own slot.
     const isFull = isTargetNearCapacity(this.services.admission.status());
     this.release('dropped');
     if (fault === 'foreign') {
-      // What follows on this connection can't be told apart either.
+      // Later answers on this connection could not be matched to requests either.
       this.attempt?.cancel();
     } else {
       this.run?.end(RunEnd.Failed);
@@ -189,7 +190,7 @@
 
   private onDeadline(): void {
     if (this.finished) return;
-    // Learned like the status of a target that gives up waiting itself (RFC 9110, section 15.6.5).
+    // Recorded like the status of a target that gives up itself (RFC 9110, section 15.6.5).
     if (!this.answerBegan) this.recordAnswer(HttpStatus.GatewayTimeout);
     this.giveUp(deadlineRefusal);
   }
@@ -202,7 +203,7 @@
     else this.refuse(refusalOf(verdict));
   }
 
-  /** Stops whatever the call is doing. */
+  /** Aborts the call at whichever step it is. */
   private stop(outcome: SampleOutcome): void {
     this.callAdmission.cancelWait();
     this.deadlineTimer?.cancel();
@@ -212,7 +213,7 @@
     this.release(outcome);
   }
 
-  /** Gives back what the call holds of the target's room. Further calls do nothing. */
+  /** Releases what the call holds, except its claim. Further calls have no effect. */
   private release(outcome: SampleOutcome): void {
     this.callAdmission.release(outcome, this.nested.totalMs());
   }
--- a/src/gate/inbound-registry.ts
+++ b/src/gate/inbound-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The calls inside a node's target, so that calls which the target makes are recognised by the trace
- * context that it passes on. Targets cannot change what is kept here.
+ * The calls in a node's target, by trace context: finds the call on whose behalf the target makes
+ * another one. Targets cannot change the entries.
  */
 import type { InboundCall } from './inbound-call.js';
 import type { TraceParent } from '../call/trace-parent.js';
@@ -27,8 +27,8 @@
   }
 
   /**
-   * The call on whose behalf the target calls out. A target whose own tracing replaces the span id
-   * still passes on the trace id; among several calls of one trace the earliest is taken.
+   * The call on whose behalf the target makes another one. If the target's own tracing has replaced
+   * the span id, the earliest call with the same trace id is returned.
    */
   find(parent: TraceParent | undefined): InboundCall | undefined {
     if (parent === undefined) return undefined;
--- a/src/gate/inbound-services.ts
+++ b/src/gate/inbound-services.ts
@@ -1,6 +1,6 @@
 /**
- * What inbound calls work with, and how they end. Two shapes: {@link InboundServices} is all that the inbound side of
- * `shoredoor node` has, and {@link GateServices} is what the gate of a sidecar has besides.
+ * Dependencies of inbound calls, and their results: {@link InboundServices} for `shoredoor node`,
+ * {@link GateServices} for a sidecar's gate.
  */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import type { CongestionLevel } from '../admission/congestion-level.js';
@@ -13,36 +13,39 @@
 import type { Refusal } from '../call/refusal.js';
 import type { RetryBudgetServices } from './repeat-use.js';
 
-/** What the calls to one target share. */
+/** Shared by all calls to one target. */
 export interface InboundServices {
   readonly clock: Clock;
   readonly admission: AdmissionController;
-  /** Whether the process is leaving and takes no new calls of this kind. */
+  /** Whether new calls of this kind are refused because the process is leaving. */
   readonly isLeaving: (kind: string) => boolean;
   readonly claims: KeyClaims;
 }
 
-/** Tells crashes of the target from connections that break. */
+/** Distinguishes crashes of the target from broken connections. */
 interface GateCrashGuard {
-  /** Whether the request is kept from targets. */
+  /** Whether the request is in quarantine. */
   isQuarantined(fingerprint: string): boolean;
-  /** A request is about to be sent to the target. @returns undefined where crashes are not watched */
+  /** A request is about to be sent to the target. @returns undefined if crashes are not watched */
   begin(fingerprint: string): WatchedRun | undefined;
-  /** Whether the target may have crashed because of the run. @param underWay requests it was at work on */
+  /**
+   * Whether the target may have crashed because of the run.
+   * @param underWay different requests in the target when it crashed
+   */
   isLikelyCause(run: WatchedRun, underWay: number): boolean;
 }
 
-/** What the calls of one sidecar's gate share. */
+/** Shared by all calls of one sidecar's gate. */
 export interface GateServices extends InboundServices, KindLimitServices, RetryBudgetServices {
   /** Another instance answered at the target's address. */
   readonly onMisdirected: (expectedIncarnation: string) => void;
   /**
-   * Learn of calls that wait long or are refused here, by importance: urgent calls pass the others and
-   * may go on while those wait.
+   * Congestion of the queue at this gate, one level for each importance: urgent calls overtake the
+   * others and may be admitted without delay.
    */
   readonly queueLevels: readonly CongestionLevel[];
   readonly crashGuard: GateCrashGuard;
-  /** Learns whether the target still answers. */
+  /** Tracks whether the target answers calls in time. */
   readonly runOutcomes: RunOutcomes;
 }
 
@@ -52,5 +55,5 @@
   | { readonly type: 'broken'; readonly verdict: Verdict }
   | { readonly type: 'refused'; readonly refusal: Refusal };
 
-/** Hears the one result of a call. */
+/** Called once with the result of a call. */
 export type InboundListener = (result: InboundResult) => void;
--- a/src/gate/kind-refusal.ts
+++ b/src/gate/kind-refusal.ts
@@ -1,12 +1,9 @@
-/**
- * What a gate says when the limit by kind refuses a request: the reason, then the numbers that decided. Pure. Relies
- * on the limiter for the reason.
- */
+/** Describes a refusal by the limit of a kind: its cause, then the numbers behind it. Pure. */
 import type { KindLimitCause, KindLimitReached } from '../admission/kind-limiter.js';
 
-/** A request that the limit of its kind kept out. */
+/** A refusal by the limit of a kind. */
 export interface KindRefusal extends KindLimitReached {
-  /** Part of the target's own calls that are congested, 0 to 1. */
+  /** Fraction of the target's own calls that are congested, 0 to 1. */
   readonly congestionLevel: number;
 }
 
@@ -16,7 +13,7 @@
   recovering: 'Calls that the target makes for this kind were held up until lately.',
 };
 
-/** The cause as log lines give it. */
+/** The detail of the refusal, as shown in log lines. */
 export function kindRefusalDetail(refusal: KindRefusal): string {
   const { cause, underWay, congestionLevel } = refusal;
   const limit = refusal.limit.toFixed(1);
--- a/src/gate/kind-tolerance.ts
+++ b/src/gate/kind-tolerance.ts
@@ -1,35 +1,33 @@
 /**
- * When requests of clients are limited by kind at a gate, and how long they are to be in the target then: by importance,
- * so that the less urgent kinds make room for the others. Asked for each request by `kind-use.ts`. Pure.
+ * Thresholds of the limit by kind at a gate: when client requests are limited, and how long they
+ * may spend in the target then. Less urgent requests are limited first. Pure.
  */
 import type { CallContext } from '../call/call-context.js';
 import type { Importance } from '../policy/importance.js';
 
 /**
- * Part of its time that a request should spend in the target at most while calls of the target are congested, by
- * importance, least first. The less urgent kinds fill the queue downstream up to their part; with 0.4 for them and 0.5
- * for the most urgent the urgent ones were limited too. Worth of all kinds on the fan-in graph at 1.8 and 2.4 times demand
- * 0.953 and 0.773 (seed 1), 0.959 and 0.770 with 0.4, 0.5, 0.5 (seeds 1 to 3; docs/rounds/order-mesh.md,
- * docs/design/platform.md). docs/DECISIONS.md has 0.1 less and 0.1 more.
+ * Fraction of its time that a request should spend in the target at most while the target's calls
+ * are congested, by importance, lowest first. Less urgent kinds fill the queue downstream up to
+ * their fraction, so it is lower: otherwise urgent kinds would be limited too.
  */
 const MAX_TARGET_TIME_PART: readonly number[] = [0.35, 0.35, 0.5, 0.8];
 /**
- * Part of the target's calls that may be congested before requests are limited, by importance, least first: the less
- * urgent ones make room first.
+ * Fraction of the target's calls above which congestion limits requests, by importance, lowest
+ * first.
  */
 const CONGESTION_THRESHOLDS: readonly number[] = [0.1, 0.1, 0.3, 0.5];
 
 /**
- * A kind whose runs take most of its time without any wait needs more than that part: this multiple of its usual time, and no
- * more than that part of its time. Held to less than a run takes, the limit fell to next to nothing, rose again once all was
- * calm, and let in too many.
+ * A kind that takes most of its time without any congestion may take this multiple of its usual
+ * time, up to {@link MAX_USUAL_PART} of its time. A bound below the duration of a run would shrink
+ * the limit to its minimum, and the recovery would then admit too many.
  */
 const USUAL_TIME_FACTOR = 1.05;
 const MAX_USUAL_PART = 0.85;
 
 /**
- * Time that a request should be in the target at most, in milliseconds.
- * @param usualMs time that its kind takes while nothing is congested, in milliseconds; undefined where that is not known
+ * Longest time that a request should spend in the target, in milliseconds.
+ * @param usualMs duration of its kind without congestion, in milliseconds; undefined if unknown
  * @param now monotonic milliseconds
  */
 export function maxTimeInTargetMs(
@@ -44,8 +42,9 @@
 }
 
 /**
- * Whether a request can't be answered within its objective any more, since its client has used up too much of it.
- * @param usualMs time that its kind takes while nothing is congested, in milliseconds; undefined where that is not known
+ * Whether a request can no longer be answered within its objective, because earlier attempts of its
+ * client have used up too much of it.
+ * @param usualMs duration of its kind without congestion, in milliseconds; undefined if unknown
  */
 export function missesObjective(context: CallContext, usualMs: number | undefined): boolean {
   const { clientWaitedMs = 0, objectiveMs = Infinity } = context;
@@ -54,7 +53,7 @@
 
 /**
  * Whether so many of the target's calls are congested that requests of this importance are limited.
- * @param level part of the target's calls that are congested, 0 to 1
+ * @param level fraction of the target's calls that are congested, 0 to 1
  */
 export function isCongestionAboveThreshold(level: number, importance: Importance): boolean {
   return level > CONGESTION_THRESHOLDS[importance]!;
--- a/src/gate/kind-use.ts
+++ b/src/gate/kind-use.ts
@@ -1,6 +1,6 @@
 /**
- * The limit by kind for one call at a gate: asks it, counts the call as under way, and learns from its answer. Owns whether
- * the call is counted; relies on `kind-tolerance.ts` for when the limit applies.
+ * The limit by kind for one call at a gate: counts the call while it is in flight, and updates the
+ * limit from its answer.
  */
 import { isCalm, type KindImpact } from '../admission/kind-impact.js';
 import type { KindLimiter } from '../admission/kind-limiter.js';
@@ -14,21 +14,21 @@
 } from './kind-tolerance.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** What the gate keeps of all kinds. */
+/** State of a gate that calls of all kinds share. */
 export interface KindLimitServices {
   readonly clock: Clock;
-  /** Part of the calls that the target makes which are congested, 0 to 1. */
+  /** Fraction of the target's own calls that are congested, 0 to 1. */
   readonly downstreamLevel: () => number;
-  /** Learns which kinds of call that level delays. */
+  /** Tracks which kinds of call that congestion delays. */
   readonly kindImpact: KindImpact;
-  /** Bounds the requests of clients of each kind while that level is high. */
+  /** Limits the client requests of each kind in flight while that congestion is high. */
   readonly kindLimiter: KindLimiter;
 }
 
 export class CallKindLimit {
-  /** Whether the kind limiter counts the call as under way. */
+  /** Whether the kind limiter counts the call as in flight. */
   private isCounted = false;
-  /** Time that the call should be in the target at most, in milliseconds. */
+  /** Longest time that the call should spend in the target, in milliseconds. */
   private maxTargetMs = Infinity;
 
   constructor(
@@ -37,8 +37,9 @@
   ) {}
 
   /**
-   * Counts the call as under way; says why not where its kind is at its limit.
-   * @param isNested whether a target makes the call: those are never limited by kind
+   * Counts the call as in flight, unless its kind is at its limit.
+   * @param isNested whether a target makes the call; such calls are not limited by kind
+   * @returns the cause if the limit is reached
    */
   acquire(isNested: boolean): KindRefusal | undefined {
     const { kindLimiter, clock, downstreamLevel } = this.services;
@@ -56,8 +57,8 @@
   }
 
   /**
-   * The target has answered: learns how its own calls delay calls of this kind.
-   * @param timeInTargetMs time that the call was in the target, in milliseconds
+   * Updates the delay and the limit of the kind.
+   * @param timeInTargetMs time that the call spent in the target, in milliseconds
    */
   onAnswer(status: number, timeInTargetMs: number): void {
     const { kindImpact, kindLimiter, downstreamLevel } = this.services;
@@ -73,13 +74,13 @@
     });
   }
 
-  /** The call is no longer under way. */
+  /** The call is no longer in flight. Further calls have no effect. */
   release(): void {
     if (this.isCounted) this.services.kindLimiter.leave(this.context.kind);
     this.isCounted = false;
   }
 
-  /** Whether so many calls of the target are congested that requests of this kind are limited. */
+  /** Whether congestion of the target's calls is above the threshold and delays this kind. */
   private isCongested(level: number): boolean {
     const { kind, importance } = this.context;
     const impact = this.services.kindImpact.of(kind);
--- a/src/gate/nested-time.ts
+++ b/src/gate/nested-time.ts
@@ -1,4 +1,7 @@
-/** Time during which a call waits for at least one call that its target made for it: the rest is the target's own work. */
+/**
+ * Measures the time during which the target waits for at least one call that it made on behalf of a
+ * call; the rest is the target's own work.
+ */
 import type { Clock } from '../common/clock.js';
 
 export class NestedTime {
@@ -18,7 +21,7 @@
     if (this.active === 0) this.total += this.clock.now() - this.startedAt;
   }
 
-  /** Milliseconds so far, overlapping calls counted once. */
+  /** Milliseconds so far; overlapping calls count once. */
   totalMs(): number {
     return this.active === 0 ? this.total : this.total + this.clock.now() - this.startedAt;
   }
--- a/src/gate/repeat-use.ts
+++ b/src/gate/repeat-use.ts
@@ -1,25 +1,25 @@
 /**
- * The retry budget for one call at a gate: asks it where the call is a repeat, and counts what arrives at the target. Owns
- * what the call sets aside; relies on the budget of the service.
+ * The retry budget for one call at a gate: charges the call to the budget if it is a repeat, and
+ * records what is sent to the target.
  */
 import type { RepeatRoom } from '../retry/repeat-room.js';
 import type { RepeatedRuns } from '../retry/repeated-runs.js';
 import type { ArrivalSource, ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { CallContext } from '../call/call-context.js';
 
-/** What the gate keeps of all calls. */
+/** State of a gate that all calls share. */
 export interface RetryBudgetServices {
-  /** Bounds the repeats that reach the target. */
+  /** Limits the repeats that reach the target. */
   readonly retryBudget: ServiceRetryBudget;
-  /** Learns how many of the target's runs are repeats. */
+  /** Tracks which of the runs in the target are repeats. */
   readonly repeatedRuns: RepeatedRuns;
 }
 
 export class CallRetryBudget {
   private readonly source: ArrivalSource;
-  /** Whether the budget counts a repeat that has not arrived yet. */
+  /** Whether the call is charged to the budget as a repeat and has not been sent yet. */
   private holdsRepeat = false;
-  /** How likely the run in the target is a repeat; undefined while none is there. */
+  /** Probability that the run in the target is a repeat; undefined while none is there. */
   private runShare: number | undefined;
 
   /** @param isNested whether a target makes the call */
@@ -31,12 +31,12 @@
     this.source = isNested ? 'targets' : 'clients';
   }
 
-  /** Which repeats would be let through now. */
+  /** Which repeats the budget allows now. */
   get room(): RepeatRoom {
     return this.services.retryBudget.room(this.source);
   }
 
-  /** Whether the call is no repeat, or one that the budget allows. */
+  /** Charges the call to the budget if it is a repeat. @returns false if the budget has no room */
   tryAcquire(): boolean {
     const { retryBudget } = this.services;
     if (this.context.isRepeat !== true) return true;
@@ -44,7 +44,7 @@
     return this.holdsRepeat;
   }
 
-  /** The call is about to arrive at the target. */
+  /** The call is about to be sent to the target. */
   onDispatch(): void {
     const { retryBudget, repeatedRuns } = this.services;
     const { kind, isRepeat, inheritedShare = 0 } = this.context;
@@ -54,7 +54,7 @@
     repeatedRuns.onStart(kind, this.runShare);
   }
 
-  /** The call is no longer in the target, or will not get there. */
+  /** The call has left the target, or will not reach it. Further calls have no effect. */
   release(): void {
     if (this.holdsRepeat) this.services.retryBudget.giveBack(this.source);
     this.holdsRepeat = false;
--- a/test/gate/inbound-congestion.test.ts
+++ b/test/gate/inbound-congestion.test.ts
@@ -10,7 +10,10 @@
 const WAIT_MS = 20;
 
 describe('the congestion that an answer of a gate tells', () => {
-  /** Lets nested calls of one importance wait. @returns what the answer to a call then tells */
+  /**
+   * Makes calls of importance `waiting` queue.
+   * @returns the congestion reported with the answer to a call of importance `asked`
+   */
   function afterWaiting(
     waiting: Importance,
     asked: Importance,
--- a/test/gate/kind-limit-cause.test.ts
+++ b/test/gate/kind-limit-cause.test.ts
@@ -1,9 +1,6 @@
 /**
- * Symptom: on a fleet that had just started gates refused with "Calls that the target makes for this kind are held up.",
- * though no call of a target had been refused or had waited.
- * Sequence: a process starts; more requests of a kind come than its first limit lets in; the rest is refused.
- * Cause: the limiter said only that it refused, and one sentence stood for every reason.
- * Settled by: the congestion level of the target's calls, 0 at each of these refusals.
+ * Guards against a refusal that reports congested calls of the target as its cause while the
+ * initial limit of the kind is what was reached.
  */
 import { expect } from 'chai';
 import type { AttemptListener } from '../../src/call/transport.js';
@@ -15,7 +12,7 @@
 
 const SLOTS = 1_000;
 const RUN_MS = 100;
-const HELD_UP = 'Calls that the target makes for this kind are held up.';
+const CONGESTED_CAUSE = 'Calls that the target makes for this kind are held up.';
 
 describe('the cause of a refusal by the limit of a kind', () => {
   let clock: VirtualClock;
@@ -77,7 +74,7 @@
     throw new Error('no call was refused');
   }
 
-  /** Congests the calls of the target until the limit follows them. */
+  /** Reports congestion downstream until the limit follows the rate of answers. */
   function congest(): void {
     downstreamLevel = 0.9;
     for (let round = 0; round < 20; round += 1) {
@@ -96,7 +93,7 @@
   it('is the congestion of the calls that the target makes while they are congested', () => {
     congest();
     const cause = refusal();
-    expect(cause.startsWith(`${HELD_UP} `)).to.equal(true);
+    expect(cause.startsWith(`${CONGESTED_CAUSE} `)).to.equal(true);
     const figures = / (\d+) are under way, the limit is (\d+\.\d), the congestion level 0\.90\.$/;
     const [, underWay, limit] = figures.exec(cause)!;
     expect(running.length).to.equal(Number(underWay));
--- a/test/gate/long-chain-limit.test.ts
+++ b/test/gate/long-chain-limit.test.ts
@@ -1,12 +1,7 @@
 /**
- * The limit by kind for requests whose chain of calls takes four fifths of their objective, at a gate that gets a few of them
- * a second.
- *
- * Symptom: in an overload the gates of a large fleet let in too many for some seconds, nearly all of which were late, and then
- * a third of what could have been answered in time. Sequence: answers came 2 s after their requests, five a second; the limit
- * was reckoned from the answers of half a second, for 35% of the objective, and doubled each second once all was calm. Cause:
- * the wanted time was less than any run takes, and the limit followed chance. Requests in time 0.19 with one of the two
- * mended, 0.23 with both, in the simulated overload of 195 sidecars.
+ * The limit by kind for requests whose chain of calls takes most of their objective, at a gate that
+ * gets a few of them a second. Guards against a bound that is shorter than any run, and a limit
+ * that follows a few random answers: either admits too many requests, most of which are late.
  */
 import { expect } from 'chai';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
@@ -21,8 +16,8 @@
 const USUAL_MS = 2_050;
 const MEAN_GAP_MS = 200;
 const ANSWERS = 200;
-/** Answers until the limit has come down from its start. */
-const SETTLING = 30;
+/** Answers until the limit has settled from its initial value. */
+const SETTLING_ANSWERS = 30;
 const SEEDS = [1, 2, 3];
 
 const CONTEXT: CallContext = {
@@ -56,7 +51,7 @@
           heldMs: USUAL_MS,
           isCongested: true,
         });
-        if (answer >= SETTLING) limits.push(limiter.limitOf(KIND));
+        if (answer >= SETTLING_ANSWERS) limits.push(limiter.limitOf(KIND));
       }
       const expected = USUAL_MS / MEAN_GAP_MS;
       expect(Math.min(...limits)).to.be.above(expected / 2);
--- a/test/gate/rejection-with-room.test.ts
+++ b/test/gate/rejection-with-room.test.ts
@@ -1,10 +1,6 @@
 /**
- * Symptom: while all targets of the deepest service turned 55% of the calls away for 9 s, nine of ten calls were no
- * longer sent there, though its slots stood empty.
- * Sequence: a target turned a call away; its gate reported overload; callers shrank what they send, and gates
- * above limited the kinds that lead there.
- * Cause: each rejection by a target was taken for a lack of room.
- * Settled by: 1,128 rejections of 14,974 arrivals in the whole run, where 9 s of usual demand are 9,000 arrivals.
+ * Guards against reporting a rejection by a target with free slots as overload: callers would send
+ * less, and gates upstream would limit the kinds that lead there, while slots stay empty.
  */
 import { expect } from 'chai';
 import { NODE_CALL_RULES } from '../../src/gate/call-rules.js';
@@ -19,7 +15,10 @@
 const SLOTS = 10;
 
 describe('a call that the target turns away', () => {
-  /** Fills the target up to `running` calls, the last of which is turned away. */
+  /**
+   * Sends `running` calls to the target, which rejects the last one.
+   * @returns the outcome of that call
+   */
   function rejected(running: number): Outcome {
     const clock = new VirtualClock();
     const admission = slotAdmission(clock, SLOTS);
