--- a/src/gate/gate-call-rules.ts
+++ b/src/gate/gate-call-rules.ts
@@ -1,6 +1,6 @@
 /**
- * The rules that the gate of a sidecar has for one call: the limit by kind, the retry budget, the watch for crashes, and
- * the congestion that it reports. Owns what the call counts towards each; relies on the parts that all calls share.
+ * The call hooks of a sidecar's gate: limit by kind, retry budget, crash detection, and the
+ * congestion that is reported to the caller.
  */
 import type { CongestionLevel } from '../admission/congestion-level.js';
 import { RunResult } from '../admission/run-outcomes.js';
@@ -8,29 +8,30 @@
 import type { CallContext } from '../call/call-context.js';
 import type { WatchedRun } from '../quarantine/crash-watch.js';
 import type { RepeatRoom } from '../retry/repeat-room.js';
-import type { CallRules } from './call-rules.js';
+import type { CallHooks } from './call-rules.js';
 import { reportedCongestion } from './gate-congestion.js';
 import type { GateServices } from './inbound-services.js';
 import type { KindRefusal } from './kind-refusal.js';
-import { KindUse } from './kind-use.js';
-import { RepeatUse } from './repeat-use.js';
+import { CallKindLimit } from './kind-use.js';
+import { CallRetryBudget } from './repeat-use.js';
 
-/** What a gate knows of a call besides its context. */
+/** Properties of a call at a gate that are not part of its context. */
 export interface GateCallOptions {
   /** Whether a target makes the call. */
   readonly isNested: boolean;
   /**
-   * Whether a target made it as far as the few calls of its kind tell that were seen yet. The limit by kind leaves such calls
-   * alone: after a start, it refused them until enough had come, and their callers' work was lost. Default: `isNested`.
+   * Whether the few calls of its kind observed so far suggest that a target makes the call. The
+   * limit by kind does not apply then: after a start it would refuse nested calls until enough of
+   * them have been observed, and the work of their callers would be lost. Default: `isNested`.
    */
   readonly isPresumedNested?: boolean;
-  /** A call that waits longer than this to be let in reports overload, in milliseconds. */
+  /** Wait for admission above which the call reports overload, in milliseconds. */
   readonly congestedAfterMs: number;
 }
 
-export class GateCallRules implements CallRules {
-  private readonly kindUse: KindUse;
-  private readonly repeatUse: RepeatUse;
+export class GateCallRules implements CallHooks {
+  private readonly kindLimit: CallKindLimit;
+  private readonly retryBudget: CallRetryBudget;
   /** When the call was sent to the target, in monotonic milliseconds; undefined while it is not there. */
   private arrivedAt: number | undefined;
 
@@ -39,8 +40,8 @@
     private readonly context: CallContext,
     private readonly options: GateCallOptions,
   ) {
-    this.kindUse = new KindUse(services, context);
-    this.repeatUse = new RepeatUse(services, context, options.isNested);
+    this.kindLimit = new CallKindLimit(services, context);
+    this.retryBudget = new CallRetryBudget(services, context, options.isNested);
   }
 
   get isNested(): boolean {
@@ -48,40 +49,40 @@
   }
 
   get repeatRoom(): RepeatRoom {
-    return this.repeatUse.room;
+    return this.retryBudget.room;
   }
 
-  mayBeAnswered(): boolean {
+  isTargetResponsive(): boolean {
     return this.services.runOutcomes.mayBeAnswered(this.context.kind);
   }
 
-  enterKind(): KindRefusal | undefined {
-    return this.kindUse.enter(this.options.isPresumedNested ?? this.isNested);
+  acquireKindLimit(): KindRefusal | undefined {
+    return this.kindLimit.acquire(this.options.isPresumedNested ?? this.isNested);
   }
 
-  enterRepeat(): boolean {
-    return this.repeatUse.tryEnter();
+  tryAcquireRetryBudget(): boolean {
+    return this.retryBudget.tryAcquire();
   }
 
   onAdmitted(waitedMs: number): boolean {
-    const waitedLong = waitedMs > this.options.congestedAfterMs;
-    this.queueLevel.onCall(waitedLong ? 1 : 0);
-    return waitedLong;
+    const wasDelayed = waitedMs > this.options.congestedAfterMs;
+    this.queueLevel.onCall(wasDelayed ? 1 : 0);
+    return wasDelayed;
   }
 
   onNotAdmitted(): void {
     this.queueLevel.onCall(1);
   }
 
-  onArrival(): WatchedRun | undefined {
-    this.repeatUse.onArrival();
+  onDispatch(): WatchedRun | undefined {
+    this.retryBudget.onDispatch();
     this.arrivedAt = this.services.clock.now();
     this.services.runOutcomes.onBegin(this.context.kind);
     return this.services.crashGuard.begin(this.context.fingerprint ?? '');
   }
 
-  onAnswer(status: number, heldMs: number): void {
-    this.kindUse.onAnswer(status, heldMs);
+  onAnswer(status: number, timeInTargetMs: number): void {
+    this.kindLimit.onAnswer(status, timeInTargetMs);
     this.endRun(runResultOf(status));
   }
 
@@ -93,10 +94,10 @@
     return this.services.crashGuard.isLikelyCause(run, underWay);
   }
 
-  leave(): void {
+  release(): void {
     this.endRun(RunResult.GivenUp);
-    this.kindUse.leave();
-    this.repeatUse.leave();
+    this.kindLimit.release();
+    this.retryBudget.release();
   }
 
   congestion(): number {
@@ -104,7 +105,7 @@
     return reportedCongestion(this.services, this.context.kind, this.isNested, queueLevel);
   }
 
-  /** Tells once how the call has left the target. */
+  /** Records once how the run in the target ended. */
   private endRun(result: RunResult): void {
     if (this.arrivedAt === undefined) return;
     const { runOutcomes, clock } = this.services;
@@ -117,7 +118,10 @@
   }
 }
 
-/** What the status of a target's answer says of its run: targets give up themselves at the deadline, and say so. */
+/**
+ * Result of a run by the status of its answer: 504 means that the target itself gave up at the
+ * deadline.
+ */
 function runResultOf(status: number): RunResult {
   if (status === HttpStatus.GatewayTimeout) return RunResult.GivenUp;
   return status < HttpStatus.InternalServerError ? RunResult.Answered : RunResult.Failed;
