--- a/src/quarantine/crash-evidence.ts
+++ b/src/quarantine/crash-evidence.ts
@@ -27,9 +27,9 @@
  * Time for that, in milliseconds. Two pushes over the control links take some 10 ms; the rest is for processes that are
  * busy. Together with the agreement it stays well below the 3 s in which all processes are to know.
  */
-const HEARING_MS = 700;
+const ACQUITTAL_WAIT_MS = 700;
 /** Crashes are forgotten after this long, in milliseconds, and above this number: soft state is bounded. */
-const CRASH_MEMORY_MS = 60 * 60_000;
+const CRASH_TTL_MS = 60 * 60_000;
 const MAX_CRASHES = 512;
 /** Suspects that are reported at once: bounds a sync. */
 const MAX_SUSPECTS = 128;
@@ -111,7 +111,7 @@
     for (const name of before) {
       if (!this.inForce.has(name) && !this.probation.has(name)) this.acquit(name);
     }
-    for (const name of this.inForce) this.explain(name);
+    for (const name of this.inForce) this.attributeCrashes(name);
   }
 
   /** Whether a request on probation was under way in a crash, and no gate has said that it ended well. */
@@ -119,7 +119,7 @@
     if (!this.probation.has(fingerprint)) return false;
     const { crashes = [] } = this.suspicions().get(fingerprint) ?? {};
     const [first] = this.sinceProbation(fingerprint, crashes);
-    return first !== undefined && this.clock.now() - first.at >= HEARING_MS;
+    return first !== undefined && this.clock.now() - first.at >= ACQUITTAL_WAIT_MS;
   }
 
   /**
@@ -138,21 +138,23 @@
       .filter(([, { crashes }]) => crashes.length >= CRASHES_TO_BLAME)
       .filter(([name]) => !this.inForce.has(name) && !this.probation.has(name))
       .sort(([, first], [, second]) => second.crashes.length - first.crashes.length);
-    const ripe = suspicions.filter(([name, suspicion]) => this.isRipe(name, suspicion, suspicions));
-    const explained = new Set<Crash>();
+    const withEnoughEvidence = suspicions.filter(([name, suspicion]) =>
+      this.hasEnoughEvidence(name, suspicion, suspicions),
+    );
+    const attributed = new Set<Crash>();
     const blamed: string[] = [];
-    for (const [fingerprint, { crashes }] of ripe) {
-      if (crashes.filter((crash) => !explained.has(crash)).length < CRASHES_TO_BLAME) continue;
+    for (const [fingerprint, { crashes }] of withEnoughEvidence) {
+      if (crashes.filter((crash) => !attributed.has(crash)).length < CRASHES_TO_BLAME) continue;
       blamed.push(fingerprint);
-      if (isAlone(fingerprint, crashes, suspicions)) {
-        for (const crash of crashes) explained.add(crash);
+      if (isOnlySuspect(fingerprint, crashes, suspicions)) {
+        for (const crash of crashes) attributed.add(crash);
       }
     }
     return blamed;
   }
 
   /** The request is known to be the cause of the crashes under it: they speak against no other one. */
-  private explain(fingerprint: string): void {
+  private attributeCrashes(fingerprint: string): void {
     for (const { fingerprints } of this.crashes.values()) {
       if (!fingerprints.has(fingerprint)) continue;
       for (const other of [...fingerprints]) {
@@ -169,7 +171,7 @@
     const names = fingerprints.flatMap((each) => [each, withoutCaller(each)]);
     this.crashes.set(instance, { at: this.clock.now(), fingerprints: new Set(names) });
     this.onChange();
-    for (const name of names) if (this.inForce.has(name)) this.explain(name);
+    for (const name of names) if (this.inForce.has(name)) this.attributeCrashes(name);
   }
 
   private acquit(fingerprint: string): void {
@@ -183,7 +185,7 @@
   }
 
   private forgetOld(): void {
-    const since = this.clock.now() - CRASH_MEMORY_MS;
+    const since = this.clock.now() - CRASH_TTL_MS;
     for (const [instance, { at }] of this.crashes) {
       if (at >= since && this.crashes.size < MAX_CRASHES) return;
       this.crashes.delete(instance);
@@ -211,21 +213,21 @@
   }
 
   /** Whether there are crashes enough, and gates have had time to say that the request ended well. */
-  private isRipe(
+  private hasEnoughEvidence(
     fingerprint: string,
     { crashes }: Suspicion,
     all: readonly [string, Suspicion][],
   ): boolean {
     if (!hasCaller(fingerprint) && callersOf(fingerprint, crashes).size < 2) return false;
-    const isOnlyOne = isAlone(fingerprint, crashes, all);
+    const isOnlyOne = isOnlySuspect(fingerprint, crashes, all);
     const needed = isOnlyOne ? CRASHES_TO_BLAME : CRASHES_TO_BLAME_ALIKE;
     const last = crashes[needed - 1];
-    return last !== undefined && this.clock.now() - last.at >= HEARING_MS;
+    return last !== undefined && this.clock.now() - last.at >= ACQUITTAL_WAIT_MS;
   }
 }
 
 /** Whether no other request was under way in just the same crashes. */
-function isAlone(
+function isOnlySuspect(
   fingerprint: string,
   crashes: readonly Crash[],
   all: readonly [string, Suspicion][],
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -11,7 +11,7 @@
 import type { PolicyTable } from '../policy/policy-table.js';
 import { CrashWatch, type WatchedRun } from './crash-watch.js';
 import { NO_SUSPECTS, type CrashNews, type CrashReport, type SuspectList } from './crash-report.js';
-import { GoodEnds } from './good-ends.js';
+import { RecentAnswers } from './good-ends.js';
 import { withoutCaller } from './request-fingerprint.js';
 
 /** What a guard is made of. */
@@ -36,7 +36,7 @@
 /** Crashes reported at once: a target that is back within 2 s can crash this often in that time. */
 const MAX_REPORTED = 5;
 /** A request that ended well this long before the first crash under it is not the cause either, in milliseconds. */
-const GOOD_BEFORE_MS = 10_000;
+const ANSWER_AGE_MS = 10_000;
 /** With no more requests than this in the target, each is likely enough to be the cause to not be sent on. */
 const MAX_LIKELY_CAUSES = 2;
 /** Fingerprints in the log line of a crash: bounds its length. */
@@ -49,7 +49,7 @@
 
 export class CrashGuard {
   readonly watch: CrashWatch;
-  private readonly goodEnds: GoodEnds;
+  private readonly recentAnswers: RecentAnswers;
   private reported: ReportedCrash[] = [];
   private crashCount = 0;
   private suspects = NO_SUSPECTS;
@@ -58,13 +58,13 @@
 
   constructor(private readonly options: CrashGuardOptions) {
     const { clock, target, refusesConnections } = options;
-    this.goodEnds = new GoodEnds(clock);
+    this.recentAnswers = new RecentAnswers(clock);
     this.watch = new CrashWatch({
       clock,
       target,
       refusesConnections,
       onCrash: (report) => this.onCrash(report),
-      onGoodEnd: (fingerprint) => this.onGoodEnd(fingerprint),
+      onAnswered: (fingerprint) => this.onAnswered(fingerprint),
     });
   }
 
@@ -93,7 +93,7 @@
     const table = this.options.table();
     const isKnown = [fingerprint, request].some((name) => table.quarantine(name) !== undefined);
     if (isKnown) return true;
-    return underWay <= MAX_LIKELY_CAUSES && !this.goodEnds.within(fingerprint, GOOD_BEFORE_MS);
+    return underWay <= MAX_LIKELY_CAUSES && !this.recentAnswers.within(fingerprint, ANSWER_AGE_MS);
   }
 
   /** Adopts the list of suspects of a control replica. */
@@ -118,15 +118,15 @@
     const heldMs = this.options.clock.now() - this.suspectsAt;
     return this.suspects.suspects
       .filter(({ fingerprint, firstCrashAgoMs }) =>
-        this.goodEnds.within(fingerprint, firstCrashAgoMs + heldMs + GOOD_BEFORE_MS),
+        this.recentAnswers.within(fingerprint, firstCrashAgoMs + heldMs + ANSWER_AGE_MS),
       )
       .map(({ fingerprint }) => fingerprint);
   }
 
-  private onGoodEnd(fingerprint: string): void {
+  private onAnswered(fingerprint: string): void {
     let isNews = false;
     for (const name of [fingerprint, withoutCaller(fingerprint)]) {
-      this.goodEnds.add(name);
+      this.recentAnswers.add(name);
       // Reported once: the next list no longer names it.
       if (this.suspected.delete(name)) isNews = true;
     }
--- a/src/quarantine/crash-watch.ts
+++ b/src/quarantine/crash-watch.ts
@@ -28,14 +28,14 @@
   /** A target has crashed. Called once for each. */
   readonly onCrash: (report: CrashReport) => void;
   /** The target has answered the request, and goes on. */
-  readonly onGoodEnd: (fingerprint: string) => void;
+  readonly onAnswered: (fingerprint: string) => void;
 }
 
 /**
  * Runs that were lost before a crash was noticed count as under way for this long, in milliseconds: connections break some
  * milliseconds before the port refuses, and the next incarnation reports seconds later.
  */
-const LOST_MEMORY_MS = 5_000;
+const LOST_RUN_TTL_MS = 5_000;
 /** Requests of one report; a target that works on more than this is rare, and the newest are the likeliest cause. */
 const MAX_SUSPECTS = 192;
 /** Incarnations that are remembered as crashed: late ends of runs ask for the latest few. */
@@ -97,10 +97,10 @@
 
   onEnd(run: WatchedRun, end: RunEnd): void {
     if (!this.underWay.delete(run)) return;
-    if (end === RunEnd.Answered && run.fingerprint !== '') this.options.onGoodEnd(run.fingerprint);
+    if (end === RunEnd.Answered && run.fingerprint !== '') this.options.onAnswered(run.fingerprint);
     if (end !== RunEnd.Lost) return;
     const now = this.options.clock.now();
-    this.lost = this.lost.filter(({ lostAt }) => now - lostAt < LOST_MEMORY_MS);
+    this.lost = this.lost.filter(({ lostAt }) => now - lostAt < LOST_RUN_TTL_MS);
     this.lost.push({ run, lostAt: now });
   }
 
@@ -133,7 +133,7 @@
 
   private onCrash(incarnation: string): void {
     if (this.crashed.has(incarnation)) return;
-    const fingerprints = this.suspectsOf(incarnation);
+    const fingerprints = this.requestsInTarget(incarnation);
     this.crashed.set(incarnation, { isDown: true, underWay: fingerprints.length });
     const [oldest] = this.crashed.keys();
     if (this.crashed.size > MAX_CRASHED && oldest !== undefined) this.crashed.delete(oldest);
@@ -141,8 +141,8 @@
   }
 
   /** Requests that were in the target when it ended, each once, the newest first. */
-  private suspectsOf(incarnation: string): string[] {
-    const since = this.options.clock.now() - LOST_MEMORY_MS;
+  private requestsInTarget(incarnation: string): string[] {
+    const since = this.options.clock.now() - LOST_RUN_TTL_MS;
     const lost = this.lost.filter(({ lostAt }) => lostAt >= since).map(({ run }) => run);
     this.lost = [];
     const runs = [...lost, ...this.underWay]
--- a/src/quarantine/good-ends.ts
+++ b/src/quarantine/good-ends.ts
@@ -13,7 +13,7 @@
  */
 const MAX_ENTRIES = 4_096;
 
-export class GoodEnds {
+export class RecentAnswers {
   /** Moments of the clock by fingerprint. */
   private current = new Map<string, number>();
   private previous = new Map<string, number>();
--- a/src/routing/balancer.ts
+++ b/src/routing/balancer.ts
@@ -21,7 +21,7 @@
  * A node that said that it leaves is passed over for this long in milliseconds, whatever lists say: longer than lists lag
  * behind it. An incarnation that is back is another one.
  */
-const LEAVING_MEMORY_MS = 60_000;
+const LEAVING_TTL_MS = 60_000;
 
 /**
  * Latency ratio that a refusal of a gate whose target is not available counts as: its calls are to go elsewhere for a while.
@@ -66,7 +66,7 @@
   private views = new Map<string, EndpointView>();
   private readonly baseline = new LatencyBaseline();
   private readonly leavingUntil = new Map<string, number>();
-  private known = false;
+  private hasSeenEndpoints = false;
   /** Mean of the limits that nodes have reported lately, in calls. */
   private meanLimit = 1;
 
@@ -81,14 +81,14 @@
     for (const record of subset) {
       const existing = this.views.get(record.id);
       if (existing === undefined) {
-        views.set(record.id, new EndpointView(record, this.known ? now : -Infinity));
+        views.set(record.id, new EndpointView(record, this.hasSeenEndpoints ? now : -Infinity));
       } else {
         existing.update(record, now);
         views.set(record.id, existing);
       }
     }
     this.views = views;
-    this.known ||= subset.length > 0;
+    this.hasSeenEndpoints ||= subset.length > 0;
   }
 
   /** Usual latency of a traffic class in milliseconds, as far as it is known. */
@@ -98,7 +98,7 @@
 
   /** Records that an endpoint itself said that it is leaving. */
   markLeaving(endpoint: EndpointRecord): void {
-    this.leavingUntil.set(leavingKey(endpoint), this.options.clock.now() + LEAVING_MEMORY_MS);
+    this.leavingUntil.set(leavingKey(endpoint), this.options.clock.now() + LEAVING_TTL_MS);
   }
 
   /**
@@ -110,7 +110,7 @@
     const now = this.options.clock.now();
     const view = chooseTarget(this.candidates(excluded, now), {
       callerZone: this.options.callerZone,
-      scale: { now, slowStartMs: this.options.slowStartMs(), meanLimit: this.meanLimit },
+      context: { now, slowStartMs: this.options.slowStartMs(), meanLimit: this.meanLimit },
       random: this.options.random,
     });
     if (view === undefined) return undefined;
@@ -132,7 +132,7 @@
     }
     const isTargetsAnswer = result === 'answered' && outcome?.refusal === undefined;
     if (isTargetsAnswer || result === 'hedged') {
-      view.onLatency(this.baseline.learn(trafficClass, now - startedAt), now);
+      view.onLatency(this.baseline.record(trafficClass, now - startedAt), now);
       return;
     }
     const leastRatio = isUnavailable(outcome)
--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -6,7 +6,7 @@
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import { OutlierDetector } from './outlier-detector.js';
-import type { Candidate, ChoiceScale } from './target-choice.js';
+import type { Candidate, CostContext } from './target-choice.js';
 
 /** Weight of one answer in the latency ratio: about the last five count. */
 const LATENCY_RATIO_WEIGHT = 0.2;
@@ -18,16 +18,16 @@
  * Without answers, an endpoint that was slow is taken for usual again with this time constant, in milliseconds: it gets few
  * calls, and one that has recovered is to get more.
  */
-const LATENCY_RATIO_FADE_MS = 3_000;
+const LATENCY_RATIO_DECAY_MS = 3_000;
 
 /**
  * Time constant with which a reported load fades, in milliseconds: reports are old where calls are few. 300 and 10,000 do as
  * well, within the spread of the seeds (docs/design/routing.md).
  */
-const LOAD_FADE_MS = 1_000;
+const LOAD_DECAY_MS = 1_000;
 
 /** Part of its full load that an endpoint gets right after it appears: enough for it to warm up by. */
-const COLD_PART = 0.1;
+const MIN_SLOW_START_WEIGHT = 0.1;
 
 export class EndpointView implements Candidate {
   private inFlight = 0;
@@ -40,20 +40,20 @@
   private loadAt = 0;
   private readonly outliers = new OutlierDetector();
   /** When it began to take up load, in monotonic milliseconds. */
-  private warmFrom: number;
+  private slowStartFrom: number;
 
   /** @param appearedAt when the endpoint was first seen; -Infinity for one that is already warm */
   constructor(
     public record: EndpointRecord,
     appearedAt: number,
   ) {
-    this.warmFrom = appearedAt;
+    this.slowStartFrom = appearedAt;
   }
 
   /** Adopts a newer announcement. A new incarnation starts cold. */
   update(record: EndpointRecord, now: number): void {
     if (record.incarnation !== this.record.incarnation) {
-      this.warmFrom = now;
+      this.slowStartFrom = now;
       this.load = undefined;
       this.latestLatencyRatio = 1;
     }
@@ -99,29 +99,29 @@
   }
 
   /** What is in flight relative to the gate's limit, times the latency ratio, divided by how warm it is. Lower is better. */
-  cost(scale: ChoiceScale): number {
-    return (this.occupancy(scale) * this.latencyRatio(scale.now)) / this.warmth(scale);
+  cost(context: CostContext): number {
+    return (this.occupancy(context) * this.latencyRatio(context.now)) / this.warmupWeight(context);
   }
 
   latencyRatio(now: number): number {
-    const kept = Math.exp((this.latencyRatioAt - now) / LATENCY_RATIO_FADE_MS);
+    const kept = Math.exp((this.latencyRatioAt - now) / LATENCY_RATIO_DECAY_MS);
     return 1 + (this.latestLatencyRatio - 1) * kept;
   }
 
   /** A gate that has reported no limit has the mean one: taken for full, one that came back got no calls to report with. */
-  occupancy({ now, meanLimit }: ChoiceScale): number {
+  occupancy({ now, meanLimit }: CostContext): number {
     const limit = this.load?.limit ?? meanLimit;
     const reported = this.load === undefined ? 0 : this.reportedInFlight(now, this.load);
     return (Math.max(this.inFlight, reported) + 1) / Math.max(1, limit);
   }
 
   private reportedInFlight(now: number, load: LoadReport): number {
-    return load.inFlight * Math.exp(-(now - this.loadAt) / LOAD_FADE_MS);
+    return load.inFlight * Math.exp(-(now - this.loadAt) / LOAD_DECAY_MS);
   }
 
-  private warmth({ now, slowStartMs }: ChoiceScale): number {
+  private warmupWeight({ now, slowStartMs }: CostContext): number {
     if (slowStartMs === 0) return 1;
-    const progress = (now - this.warmFrom) / slowStartMs;
-    return Math.min(1, Math.max(COLD_PART, progress));
+    const progress = (now - this.slowStartFrom) / slowStartMs;
+    return Math.min(1, Math.max(MIN_SLOW_START_WEIGHT, progress));
   }
 }
--- a/src/routing/latency-baseline.ts
+++ b/src/routing/latency-baseline.ts
@@ -5,7 +5,7 @@
 import { BoundedMap } from '../common/bounded-map.js';
 
 /** Weight of one answer in the usual latency: about the last twenty count. */
-const WEIGHT = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 
 /** A larger multiple counts as this one: a few slow endpoints are not to become what is usual. */
 const MAX_RATIO = 2;
@@ -40,7 +40,7 @@
   }
 
   /** Learns the latency of one answer. @returns the latency as a multiple of the usual one */
-  learn(trafficClass: string, latencyMs: number): number {
+  record(trafficClass: string, latencyMs: number): number {
     const latency = Math.max(MIN_LATENCY_MS, latencyMs);
     const known = this.usual.get(trafficClass);
     if (known === undefined) {
@@ -49,7 +49,7 @@
     }
     const ratio = latency / known.latencyMs;
     const counted = Math.min(ratio, MAX_RATIO) * known.latencyMs;
-    known.latencyMs += WEIGHT * (counted - known.latencyMs);
+    known.latencyMs += SMOOTHING_FACTOR * (counted - known.latencyMs);
     known.answers += 1;
     return ratio;
   }
--- a/src/routing/nested-routes.ts
+++ b/src/routing/nested-routes.ts
@@ -6,7 +6,7 @@
 import { BoundedMap } from '../common/bounded-map.js';
 
 /** Weight of one answer: what the last ten or so say counts. */
-const WEIGHT = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 
 /** Part of the latest answers above which they are believed. */
 const MAJORITY = 0.5;
@@ -16,20 +16,20 @@
 
 export class NestedRoutes {
   /** Part of the latest answers that said so, by route. */
-  private readonly parts = new BoundedMap<number>(MAX_ROUTES);
+  private readonly nestedFractions = new BoundedMap<number>(MAX_ROUTES);
 
   /** Whether targets make the calls of `route`. */
   has(route: string): boolean {
-    return (this.parts.get(route) ?? 0) > MAJORITY;
+    return (this.nestedFractions.get(route) ?? 0) > MAJORITY;
   }
 
   /** A gate answered a call of `route`. @returns whether {@link has} has changed by it */
   onAnswer(route: string, isNested: boolean): boolean {
     const before = this.has(route);
-    const part = this.parts.get(route);
+    const part = this.nestedFractions.get(route);
     if (part === undefined && !isNested) return false;
     const present = part ?? 0;
-    this.parts.set(route, present + WEIGHT * ((isNested ? 1 : 0) - present));
+    this.nestedFractions.set(route, present + SMOOTHING_FACTOR * ((isNested ? 1 : 0) - present));
     return this.has(route) !== before;
   }
 }
--- a/src/routing/origin-tracker.ts
+++ b/src/routing/origin-tracker.ts
@@ -10,10 +10,10 @@
 const MAX_CALLS = 2_000;
 
 /** Part of the calls expected from its machines below which a service is no origin: strays. */
-const MIN_PART_OF_EXPECTED = 0.1;
+const MIN_FRACTION_OF_EXPECTED = 0.1;
 
 /** Routes with no more than this part of the services as origins are called by targets. */
-const MAX_ORIGIN_PART = 0.5;
+const MAX_ORIGIN_FRACTION = 0.5;
 
 /** With fewer services nothing can be concluded: the only one has all calls. */
 const MIN_SERVICES = 2;
@@ -39,10 +39,10 @@
 const MIN_EXPECTED_TO_PRESUME = 3;
 
 /** Calls of a route after which a conclusion is drawn anew, but for the first ones: it costs a look at every service. */
-const CONCLUDE_EVERY = 20;
+const CALLS_PER_EVALUATION = 20;
 
 /** Who makes the calls of a route, as far as is known. */
-enum CallMaker {
+enum CallerType {
   Unknown,
   /** Nothing speaks against targets yet, but little has been seen. */
   PresumedTargets,
@@ -52,9 +52,9 @@
 interface RouteOrigins {
   total: number;
   readonly byService: Map<string, number>;
-  maker: CallMaker;
+  callerType: CallerType;
   /** Calls until the next conclusion. */
-  untilConclusion: number;
+  callsUntilEvaluation: number;
 }
 
 export class OriginTracker {
@@ -74,23 +74,23 @@
     const origins = this.origins(route);
     origins.total += 1;
     origins.byService.set(service, (origins.byService.get(service) ?? 0) + 1);
-    if (origins.total >= MAX_CALLS) fade(origins);
-    origins.untilConclusion -= 1;
-    const isNew = origins.total < CONCLUDE_EVERY;
-    if (!isNew && origins.untilConclusion > 0) return;
-    origins.untilConclusion = CONCLUDE_EVERY;
-    origins.maker = callMaker(origins, this.machines(), this.callingPart());
+    if (origins.total >= MAX_CALLS) halveCounts(origins);
+    origins.callsUntilEvaluation -= 1;
+    const isNew = origins.total < CALLS_PER_EVALUATION;
+    if (!isNew && origins.callsUntilEvaluation > 0) return;
+    origins.callsUntilEvaluation = CALLS_PER_EVALUATION;
+    origins.callerType = classifyCaller(origins, this.machines(), this.callingPart());
   }
 
   /** Whether targets make the calls of `route`, as far as is known. */
   isNested(route: string): boolean {
-    return this.routes.get(route)?.maker === CallMaker.Targets;
+    return this.routes.get(route)?.callerType === CallerType.Targets;
   }
 
   /** Whether all that was seen yet suggests that targets make the calls of `route`, however little that is. */
   isPresumedNested(route: string): boolean {
-    const maker = this.routes.get(route)?.maker ?? CallMaker.Unknown;
-    return maker !== CallMaker.Unknown;
+    const callerType = this.routes.get(route)?.callerType ?? CallerType.Unknown;
+    return callerType !== CallerType.Unknown;
   }
 
   private origins(route: string): RouteOrigins {
@@ -99,21 +99,21 @@
     const created: RouteOrigins = {
       total: 0,
       byService: new Map(),
-      maker: CallMaker.Unknown,
-      untilConclusion: CONCLUDE_EVERY,
+      callerType: CallerType.Unknown,
+      callsUntilEvaluation: CALLS_PER_EVALUATION,
     };
     this.routes.set(route, created);
     return created;
   }
 }
 
-function callMaker(
+function classifyCaller(
   origins: RouteOrigins,
   machines: ReadonlyMap<string, number>,
   callingPart: number,
-): CallMaker {
+): CallerType {
   const services = new Set([...machines.keys(), ...origins.byService.keys()]);
-  if (services.size < MIN_SERVICES) return CallMaker.Unknown;
+  if (services.size < MIN_SERVICES) return CallerType.Unknown;
   const allMachines = sum(machines.values());
   let absentMachines = 0;
   let present = 0;
@@ -121,18 +121,18 @@
     const count = machines.get(service) ?? 0;
     const expected = (origins.total * count) / allMachines;
     const calls = origins.byService.get(service) ?? 0;
-    if (calls > MIN_PART_OF_EXPECTED * expected) present += 1;
+    if (calls > MIN_FRACTION_OF_EXPECTED * expected) present += 1;
     else absentMachines += count;
   }
-  if (present > services.size * MAX_ORIGIN_PART) return CallMaker.Unknown;
+  if (present > services.size * MAX_ORIGIN_FRACTION) return CallerType.Unknown;
   const expectedCalls = (origins.total * absentMachines) / allMachines;
   // Where all machines call here, calls are as independent as their callers.
   const expectedCallers = callingPart < 1 ? absentMachines * callingPart : Infinity;
   if (expectedCalls >= MIN_EXPECTED_CALLS && expectedCallers >= MIN_EXPECTED_CALLERS) {
-    return CallMaker.Targets;
+    return CallerType.Targets;
   }
   const isLikely = Math.min(expectedCalls, expectedCallers) >= MIN_EXPECTED_TO_PRESUME;
-  return isLikely ? CallMaker.PresumedTargets : CallMaker.Unknown;
+  return isLikely ? CallerType.PresumedTargets : CallerType.Unknown;
 }
 
 function sum(numbers: Iterable<number>): number {
@@ -141,7 +141,7 @@
   return total;
 }
 
-function fade(origins: RouteOrigins): void {
+function halveCounts(origins: RouteOrigins): void {
   origins.total = 0;
   for (const [service, calls] of origins.byService) {
     const kept = calls / 2;
--- a/src/routing/target-choice.ts
+++ b/src/routing/target-choice.ts
@@ -16,7 +16,7 @@
 /**
  * Largest part of the candidates that is passed over as ejected: where most fail, the rest would have all of the load.
  */
-const MAX_EJECTED_PART = 0.5;
+const MAX_EJECTED_FRACTION = 0.5;
 
 /**
  * Occupancy from which an endpoint of the zone has no room. Lower, calls cross zones while there is room here; without it
@@ -37,22 +37,22 @@
  * times the usual demand, seed 1: with 2, parts of 0.166, 0.146 and 0.106 of the attempts cross, for worth of 1.000, 0.960
  * and 0.771; without the condition 0.308, 0.353 and 0.370, for 1.000, 0.965 and 0.765; with 3 the worth at 2.4 is 0.757.
  */
-const CROSSING_COST_RATIO = 2;
+const CROSS_ZONE_COST_RATIO = 2;
 
 /**
  * Random endpoints compared in the zone. With one, 0.25 of the attempts cross zones in place of 0.20 (docs/design/routing.md,
  * deep search graph).
  */
-const LOCAL_CHOICES = 2;
+const LOCAL_SAMPLE_SIZE = 2;
 
 /**
  * Random endpoints compared over all zones, of which some may be full or slow. 2 and 8 do as well, within the spread of the
  * seeds (docs/design/routing.md).
  */
-const SPILL_CHOICES = 3;
+const ALL_ZONES_SAMPLE_SIZE = 3;
 
 /** What the values of all endpoints are reckoned with at one moment. */
-export interface ChoiceScale {
+export interface CostContext {
   /** Monotonic milliseconds. */
   readonly now: number;
   /** Time over which a new endpoint takes up its load, in milliseconds; 0: at once. */
@@ -66,52 +66,53 @@
   readonly zone: string;
   isEjected(now: number): boolean;
   /** Calls at its gate with one more, relative to its limit: 1 is full. */
-  occupancy(scale: ChoiceScale): number;
+  occupancy(context: CostContext): number;
   /** Latency as a multiple of what is usual: 1 for an endpoint like the others. */
   latencyRatio(now: number): number;
   /** Expected cost of one more call; only comparisons mean anything. */
-  cost(scale: ChoiceScale): number;
+  cost(context: CostContext): number;
 }
 
 /** What a choice is made from. */
 export interface ChoiceOptions {
   readonly callerZone: string;
-  readonly scale: ChoiceScale;
+  readonly context: CostContext;
   readonly random: RandomSource;
 }
 
 /** @returns undefined if there is no candidate */
 export function chooseTarget<T extends Candidate>(
   candidates: readonly T[],
-  { callerZone, scale, random }: ChoiceOptions,
+  { callerZone, context, random }: ChoiceOptions,
 ): T | undefined {
-  const usable = withoutEjected(candidates, scale.now);
+  const usable = selectUsable(candidates, context.now);
   const local = usable.filter(({ zone }) => zone === callerZone);
-  const nearby = cheapestOf(LOCAL_CHOICES, local, scale, random);
-  if (nearby !== undefined && hasRoom(nearby, scale) && !isSlow(nearby, scale)) return nearby;
-  const best = cheapestOf(SPILL_CHOICES, usable, scale, random);
-  if (nearby === undefined || best === undefined) return best;
-  const isWorthCrossing = nearby.cost(scale) > CROSSING_COST_RATIO * best.cost(scale);
-  return isWorthCrossing ? best : nearby;
+  const bestLocal = cheapestOf(LOCAL_SAMPLE_SIZE, local, context, random);
+  if (bestLocal !== undefined && hasRoom(bestLocal, context) && !isSlow(bestLocal, context))
+    return bestLocal;
+  const best = cheapestOf(ALL_ZONES_SAMPLE_SIZE, usable, context, random);
+  if (bestLocal === undefined || best === undefined) return best;
+  const isWorthCrossing = bestLocal.cost(context) > CROSS_ZONE_COST_RATIO * best.cost(context);
+  return isWorthCrossing ? best : bestLocal;
 }
 
-function withoutEjected<T extends Candidate>(candidates: readonly T[], now: number): T[] {
+function selectUsable<T extends Candidate>(candidates: readonly T[], now: number): T[] {
   const usable: T[] = [];
   const ejected: T[] = [];
   for (const candidate of candidates) {
     if (candidate.isEjected(now)) ejected.push(candidate);
     else usable.push(candidate);
   }
-  const least = Math.ceil(candidates.length * (1 - MAX_EJECTED_PART));
+  const least = Math.ceil(candidates.length * (1 - MAX_EJECTED_FRACTION));
   while (usable.length < least) usable.push(ejected.pop()!);
   return usable;
 }
 
-function hasRoom(candidate: Candidate, scale: ChoiceScale): boolean {
-  return candidate.occupancy(scale) < FULL_OCCUPANCY;
+function hasRoom(candidate: Candidate, context: CostContext): boolean {
+  return candidate.occupancy(context) < FULL_OCCUPANCY;
 }
 
-function isSlow(candidate: Candidate, { now }: ChoiceScale): boolean {
+function isSlow(candidate: Candidate, { now }: CostContext): boolean {
   return candidate.latencyRatio(now) >= SLOW_LATENCY_RATIO;
 }
 
@@ -119,7 +120,7 @@
 function cheapestOf<T extends Candidate>(
   count: number,
   pool: readonly T[],
-  scale: ChoiceScale,
+  context: CostContext,
   random: RandomSource,
 ): T | undefined {
   const left = [...pool];
@@ -130,7 +131,7 @@
     const candidate = left[index]!;
     left[index] = left[left.length - 1]!;
     left.pop();
-    const cost = candidate.cost(scale);
+    const cost = candidate.cost(context);
     if (cost < leastCost) {
       cheapest = candidate;
       leastCost = cost;
--- a/test/quarantine/crash-watch.test.ts
+++ b/test/quarantine/crash-watch.test.ts
@@ -33,7 +33,7 @@
         return refuses;
       },
       onCrash: (crash) => crashes.push(crash),
-      onGoodEnd: (fingerprint) => goodEnds.push(fingerprint),
+      onAnswered: (fingerprint) => goodEnds.push(fingerprint),
     });
     watch.onTarget(target);
   });
--- a/test/routing/target-choice.test.ts
+++ b/test/routing/target-choice.test.ts
@@ -3,7 +3,7 @@
 import { chooseTarget, type Candidate } from '../../src/routing/target-choice.js';
 
 const ZONE = 'near';
-const SCALE = { now: 0, slowStartMs: 0, meanLimit: 10 };
+const CONTEXT = { now: 0, slowStartMs: 0, meanLimit: 10 };
 const SEEDS = 50;
 
 interface Endpoint {
@@ -35,7 +35,7 @@
   const candidates = endpoints.map(candidate);
   const names = Array.from({ length: SEEDS }, (_, seed) => {
     const random = new SeededRandom(seed);
-    return chooseTarget(candidates, { callerZone: ZONE, scale: SCALE, random })?.name ?? 'none';
+    return chooseTarget(candidates, { callerZone: ZONE, context: CONTEXT, random })?.name ?? 'none';
   });
   return [...new Set(names)].sort();
 }
