--- a/src/quarantine/crash-evidence.ts
+++ b/src/quarantine/crash-evidence.ts
@@ -1,37 +1,34 @@
 /**
- * What one control replica knows of the crashes of targets, and which requests it blames for them. Soft state: every sidecar
- * reports to every replica, so no replica needs another one's. Pure.
+ * Collects the crashes of targets at one control replica, and determines which requests caused them. The state is not
+ * replicated, because every sidecar reports to every replica.
  *
- * A request is blamed if it was under way in several crashes and has not ended well anywhere since the first of them. Others
- * that were under way in the same crashes, and in no others, are as suspect: then more crashes are wanted. A crash that one
- * request is blamed for speaks against no other one. A request is blamed whoever sends it once crashes under it came by
- * different callers, and for one caller otherwise.
- *
- * Owns the crashes of the last hour; relies on the store's quarantines for what is in force. docs/design/quarantine.md
- * weighs the rule.
+ * A request is blamed if it was in flight in several crashes and has not succeeded anywhere since the first of them. If
+ * other requests were in flight in exactly the same crashes, more crashes are required. Crashes attributed to one request
+ * don't count against others. A request is blamed for a single caller, or for all callers once crashes under it came from
+ * different ones. docs/design/quarantine.md describes the rule.
  */
 import type { Clock } from '../common/clock.js';
 import { hasCaller, withoutCaller } from './request-fingerprint.js';
 import type { CrashNews, CrashReport, CrashSuspect, SuspectList } from './crash-report.js';
 
 /**
- * Crashes under one request after which it is blamed for them: fewer blame a request that was there by chance, more cost
- * targets.
+ * Number of crashes under a request after which it is blamed. With fewer, a request that was in flight by chance could be
+ * blamed; with more, more targets crash.
  */
 export const CRASHES_TO_BLAME = 3;
-/** The same where others were under way in just the same crashes. */
+/** The same if other requests were in flight in exactly the same crashes. */
 const CRASHES_TO_BLAME_ALIKE = 5;
-/** Crashes under one request from which it is told to all gates, so that one that has seen it end well says so. */
+/** Number of crashes under a request from which gates are asked whether it has succeeded there. */
 const CRASHES_TO_SUSPECT = 2;
 /**
- * Time for that, in milliseconds. Two pushes over the control links take some 10 ms; the rest is for processes that are
- * busy. Together with the agreement it stays well below the 3 s in which all processes are to know.
+ * How long to wait for the answers of the gates, in milliseconds. Together with the commit of the quarantine this must stay
+ * well below 3 s, the time within which all processes must know of it.
  */
 const ACQUITTAL_WAIT_MS = 700;
-/** Crashes are forgotten after this long, in milliseconds, and above this number: soft state is bounded. */
+/** Crashes are evicted after this long, in milliseconds, or if there are more than {@link MAX_CRASHES}. */
 const CRASH_TTL_MS = 60 * 60_000;
 const MAX_CRASHES = 512;
-/** Suspects that are reported at once: bounds a sync. */
+/** Largest number of suspects in one list. Bounds the size of a sync. */
 const MAX_SUSPECTS = 128;
 
 interface Crash {
@@ -39,33 +36,36 @@
   readonly fingerprints: Set<string>;
 }
 
-/** A quarantine as the store has it. */
+/** A quarantine in the replicated store. */
 export interface KnownQuarantine {
   readonly fingerprint: string;
-  /** False once its time is over and the next crash renews it. */
+  /** False while the request is on probation: the next crash renews the quarantine. */
   readonly inForce: boolean;
 }
 
-/** The crashes under one request. */
+/** The crashes in which one request was in flight. */
 interface Suspicion {
   readonly crashes: Crash[];
 }
 
 export class CrashEvidence {
-  /** By the incarnation that ended, oldest first. One without fingerprints is known and speaks against none. */
+  /**
+   * By the incarnation that crashed, oldest first. A crash whose fingerprints were all removed is kept, so that a repeated
+   * report of it is ignored.
+   */
   private readonly crashes = new Map<string, Crash>();
   private version = 1;
-  /** Of the version that they were read at: many followers ask for the same list. */
+  /** Cached for one version: many followers request the same list. */
   private suspicionsRead:
     { readonly version: number; readonly all: Map<string, Suspicion> } | undefined;
-  /** Requests in quarantine: they are not blamed again. */
+  /** Fingerprints in quarantine; they are not blamed again. */
   private inForce: ReadonlySet<string> = new Set();
-  /** Requests whose quarantine has ended, and when that was seen: the first crash after it makes them suspect. */
+  /** Fingerprints on probation, with the time when this was observed. The first crash after it makes them suspects. */
   private probation: ReadonlyMap<string, number> = new Map();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes what a sidecar tells. @returns whether the list of suspects may have changed */
+  /** Applies the report of a sidecar. @returns whether the list of suspects may have changed */
   onNews({ crashes, acquitted }: CrashNews): boolean {
     const before = this.version;
     for (const report of crashes) this.add(report);
@@ -73,12 +73,12 @@
     return this.version !== before;
   }
 
-  /** Counts the changes of the list of suspects. */
+  /** Increases with each change of the list of suspects. */
   get suspectVersion(): number {
     return this.version;
   }
 
-  /** Requests for which gates are asked whether they have seen them end well. */
+  /** Returns the requests for which gates are asked whether they have succeeded there. */
   suspectList(): SuspectList {
     const now = this.clock.now();
     const suspects: CrashSuspect[] = [];
@@ -91,12 +91,12 @@
     return { version: this.version, suspects: suspects.slice(-MAX_SUSPECTS) };
   }
 
-  /** Number of crashes in which the request was under way, and for which no other one is blamed. */
+  /** Returns the number of crashes in which the request was in flight, except those attributed to another request. */
   crashesUnder(fingerprint: string): number {
     return this.suspicions().get(fingerprint)?.crashes.length ?? 0;
   }
 
-  /** Adopts the quarantines that there are now. What speaks against a request that was taken out of them is forgotten. */
+  /** Replaces the known quarantines. The crashes under a request that is no longer among them are discarded. */
   adopt(quarantines: readonly KnownQuarantine[]): void {
     const before = [...this.inForce, ...this.probation.keys()];
     const now = this.clock.now();
@@ -114,7 +114,7 @@
     for (const name of this.inForce) this.attributeCrashes(name);
   }
 
-  /** Whether a request on probation was under way in a crash, and no gate has said that it ended well. */
+  /** Whether a request on probation was in flight in a crash, and no gate has reported that it succeeded. */
   blamesOnProbation(fingerprint: string): boolean {
     if (!this.probation.has(fingerprint)) return false;
     const { crashes = [] } = this.suspicions().get(fingerprint) ?? {};
@@ -123,15 +123,15 @@
   }
 
   /**
-   * The crashes under a request that count: on probation those since its quarantine ended. Those that led to it are kept
-   * longer, and would put it in force again without a crash.
+   * Returns the crashes that count against a request: on probation only those since its quarantine ended. The earlier ones
+   * would renew the quarantine without a new crash.
    */
   private sinceProbation(fingerprint: string, crashes: readonly Crash[]): readonly Crash[] {
     const since = this.probation.get(fingerprint);
     return since === undefined ? crashes : crashes.filter(({ at }) => at >= since);
   }
 
-  /** Requests that are to be blamed now, the most suspect first. */
+  /** Returns the requests to put in quarantine now, those with the most crashes first. */
   blamed(): string[] {
     if (this.crashes.size < CRASHES_TO_BLAME) return [];
     const suspicions = [...this.suspicions()]
@@ -153,12 +153,12 @@
     return blamed;
   }
 
-  /** The request is known to be the cause of the crashes under it: they speak against no other one. */
+  /** Attributes the crashes under a request to it, so that they don't count against others. */
   private attributeCrashes(fingerprint: string): void {
     for (const { fingerprints } of this.crashes.values()) {
       if (!fingerprints.has(fingerprint)) continue;
       for (const other of [...fingerprints]) {
-        // The same request of other callers stays suspect.
+        // The same request from other callers remains a suspect.
         const isSameRequest = withoutCaller(other) === withoutCaller(fingerprint);
         if (!isSameRequest && fingerprints.delete(other)) this.onChange();
       }
@@ -212,7 +212,7 @@
     return suspicions;
   }
 
-  /** Whether there are crashes enough, and gates have had time to say that the request ended well. */
+  /** Whether there are enough crashes, and gates had time to report that the request succeeded. */
   private hasEnoughEvidence(
     fingerprint: string,
     { crashes }: Suspicion,
@@ -226,7 +226,7 @@
   }
 }
 
-/** Whether no other request was under way in just the same crashes. */
+/** Whether no other request was in flight in exactly the same crashes. */
 function isOnlySuspect(
   fingerprint: string,
   crashes: readonly Crash[],
@@ -239,7 +239,7 @@
   });
 }
 
-/** Fingerprints with a caller under which a request was under way in these crashes. */
+/** Returns the fingerprints, including the caller, with which a request was in flight in these crashes. */
 function callersOf(request: string, crashes: readonly Crash[]): Set<string> {
   const callers = new Set<string>();
   for (const { fingerprints } of crashes) {
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -1,9 +1,7 @@
 /**
- * What one sidecar does about requests that crash targets: watches its own target, tells control of crashes and of suspects
- * that ended well here, and says which requests are not to be sent to any target. Pure.
- *
- * Asked by the ingress and the gate before a request is sent, and by the gate after a connection broke. Owns the crashes
- * that are still reported, and the latest list of suspects; relies on the table in force for quarantines.
+ * Protects targets from requests that crash them, in one sidecar: reports crashes of its target and suspects that succeeded
+ * there to control, and decides which requests must not be sent to any target. The ingress and the gate ask it before they
+ * send a request, the gate also after a connection broke.
  */
 import type { Clock } from '../common/clock.js';
 import type { TargetReport } from '../membership/target-lease.js';
@@ -14,32 +12,28 @@
 import { RecentAnswers } from './good-ends.js';
 import { withoutCaller } from './request-fingerprint.js';
 
-/** What a guard is made of. */
 export interface CrashGuardOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly target: () => TargetReport | undefined;
   readonly refusesConnections: (address: string) => Promise<boolean>;
-  /** The table in force. */
+  /** Returns the policy table in force, which contains the quarantines. */
   readonly table: () => PolicyTable;
-  /** The incarnation has crashed. */
+  /** Called when a target has crashed, with the name of its incarnation. */
   readonly onDown: (incarnation: string) => void;
-  /** There is something to tell control at once. */
+  /** Called when there is something to report to control at once. */
   readonly onNews: () => void;
 }
 
-/**
- * A crash is reported for this long, in milliseconds: heartbeats are lost, and replicas restart within a second or two. Not
- * measured.
- */
+/** How long a crash is reported, in milliseconds. Covers lost heartbeats and restarts of control replicas. */
 const REPORT_MS = 10_000;
-/** Crashes reported at once: a target that is back within 2 s can crash this often in that time. */
+/** Largest number of crashes in one report. */
 const MAX_REPORTED = 5;
-/** A request that ended well this long before the first crash under it is not the cause either, in milliseconds. */
+/** A request that succeeded within this many milliseconds before the first crash under it is not the cause either. */
 const ANSWER_AGE_MS = 10_000;
-/** With no more requests than this in the target, each is likely enough to be the cause to not be sent on. */
+/** If at most this many requests were in the target, each is a likely cause and is not sent to another target. */
 const MAX_LIKELY_CAUSES = 2;
-/** Fingerprints in the log line of a crash: bounds its length. */
+/** Largest number of fingerprints in the log line of a crash. */
 const MAX_LOGGED = 8;
 
 interface ReportedCrash {
@@ -68,17 +62,17 @@
     });
   }
 
-  /** Crashes of the targets here since the start. */
+  /** Number of crashes of this sidecar's targets since it started. */
   get crashes(): number {
     return this.crashCount;
   }
 
-  /** A request is about to be sent to the target. */
+  /** Registers a request that is about to be sent to the target. */
   begin(fingerprint: string): WatchedRun {
     return this.watch.begin(fingerprint);
   }
 
-  /** Whether the request is kept from targets. */
+  /** Whether the request must not be sent to any target. */
   isQuarantined(fingerprint: string): boolean {
     const table = this.options.table();
     if (table.quarantineCount === 0) return false;
@@ -86,7 +80,10 @@
     return isInForce(fingerprint) || isInForce(withoutCaller(fingerprint));
   }
 
-  /** Whether a target that has just crashed under the request may have done so because of it. */
+  /**
+   * Whether the request may have caused the crash of the target that it was in.
+   * @param underWay number of different requests that were in the target
+   */
   isLikelyCause({ fingerprint }: WatchedRun, underWay: number): boolean {
     const request = withoutCaller(fingerprint);
     if (this.suspected.has(fingerprint) || this.suspected.has(request)) return true;
@@ -96,7 +93,7 @@
     return underWay <= MAX_LIKELY_CAUSES && !this.recentAnswers.within(fingerprint, ANSWER_AGE_MS);
   }
 
-  /** Adopts the list of suspects of a control replica. */
+  /** Replaces the list of suspects by that of a control replica. */
   onSuspects(list: SuspectList): void {
     this.suspects = list;
     this.suspectsAt = this.options.clock.now();
@@ -105,7 +102,7 @@
     if (this.acquitted().length > 0) this.options.onNews();
   }
 
-  /** What to tell control; undefined where there is nothing. */
+  /** Returns what to report to control; undefined if there is nothing. */
   news(): CrashNews | undefined {
     const since = this.options.clock.now() - REPORT_MS;
     this.reported = this.reported.filter(({ at }) => at >= since);
@@ -127,7 +124,7 @@
     let isNews = false;
     for (const name of [fingerprint, withoutCaller(fingerprint)]) {
       this.recentAnswers.add(name);
-      // Reported once: the next list no longer names it.
+      // Only the first success is announced: the next list no longer contains the request.
       if (this.suspected.delete(name)) isNews = true;
     }
     if (isNews) this.options.onNews();
--- a/src/quarantine/crash-report.ts
+++ b/src/quarantine/crash-report.ts
@@ -1,34 +1,34 @@
 /**
- * What processes report to each other about crashes of targets: sidecars to every control replica with their heartbeats, a
- * replica to its followers with their syncs.
+ * Messages about crashes of targets. Sidecars send crashes to every control replica with their heartbeats; replicas send
+ * suspects to their followers with syncs.
  */
 
-/** One crash of a target, as the sidecar beside it saw it. */
+/** A crash of a target, as observed by its sidecar. */
 export interface CrashReport {
-  /** Name of the incarnation of the target that ended: names the crash. */
+  /** Name of the incarnation that crashed; identifies the crash. */
   readonly instance: string;
-  /** Requests that the target was at work on: any of them may be the cause. */
+  /** Requests that were in flight in the target; any of them may be the cause. */
   readonly fingerprints: readonly string[];
 }
 
-/** A request under which several targets have crashed, and that has not been seen to end well since. */
+/** A request that was in flight in several crashes and has not been seen to succeed since. */
 export interface CrashSuspect {
   readonly fingerprint: string;
-  /** Milliseconds since the first of these crashes, when this was told. */
+  /** Milliseconds from the first of these crashes to the sending of the list. */
   readonly firstCrashAgoMs: number;
 }
 
-/** The suspects that one control replica knows of. */
+/** The suspects known to one control replica. */
 export interface SuspectList {
-  /** Counts the changes of the list at this replica. */
+  /** Increases with each change of the list at this replica. */
   readonly version: number;
   readonly suspects: readonly CrashSuspect[];
 }
 
-/** What a sidecar tells about crashes with each heartbeat. */
+/** What a sidecar reports about crashes with a heartbeat. */
 export interface CrashNews {
   readonly crashes: readonly CrashReport[];
-  /** Suspects that a target here has answered, so that they are not the cause. */
+  /** Fingerprints of suspects that succeeded at the sidecar's target, and therefore are not the cause. */
   readonly acquitted: readonly string[];
 }
 
--- a/src/quarantine/crash-watch.ts
+++ b/src/quarantine/crash-watch.ts
@@ -1,56 +1,54 @@
 /**
- * Tells the crash of a gate's target from a connection that merely broke, and says which requests it was at work on. A
- * target has crashed if it refuses connections, or if another incarnation reports in place of one that had not said that
- * it leaves. Owns the runs in the target and those that were lost there lately; relies on the target's lease for which
- * incarnation is in use. Pure: the probe of the target's port is injected.
+ * Distinguishes a crash of a gate's target from a broken connection, and determines which requests were in flight. A target
+ * has crashed if it refuses connections, or if another incarnation replaces it without an announced shutdown.
  */
 import type { Clock } from '../common/clock.js';
 import { incarnationName, isSameIncarnation } from '../membership/incarnation.js';
 import type { TargetReport } from '../membership/target-lease.js';
 import type { CrashReport } from './crash-report.js';
 
-/** How a run of a request in the target ended. */
+/** How the run of a request in the target ended. */
 export enum RunEnd {
-  /** With an answer of the target. */
+  /** The target answered successfully. */
   Answered = 'answered',
-  /** The target answered with a failure of its own, or turned the request away: says nothing. */
+  /** The target answered with an error, or the request did not reach it: neither a crash nor a success. */
   Failed = 'failed',
-  /** Without an answer, or it broke off: the target may have crashed. */
+  /** There was no complete answer: the target may have crashed. */
   Lost = 'lost',
 }
 
 export interface CrashWatchOptions {
   readonly clock: Clock;
-  /** The target in use; undefined while there is none. */
+  /** Returns the target in use; undefined if there is none. */
   readonly target: () => TargetReport | undefined;
   /** Whether the target's port refuses connections. */
   readonly refusesConnections: (address: string) => Promise<boolean>;
-  /** A target has crashed. Called once for each. */
+  /** Called once for each crash of a target. */
   readonly onCrash: (report: CrashReport) => void;
-  /** The target has answered the request, and goes on. */
+  /** Called when the target has answered a request successfully. */
   readonly onAnswered: (fingerprint: string) => void;
 }
 
 /**
- * Runs that were lost before a crash was noticed count as under way for this long, in milliseconds: connections break some
- * milliseconds before the port refuses, and the next incarnation reports seconds later.
+ * How long a lost run counts as in flight, in milliseconds. Connections break before the port refuses new ones, and the
+ * next incarnation may report only seconds later.
  */
 const LOST_RUN_TTL_MS = 5_000;
-/** Requests of one report; a target that works on more than this is rare, and the newest are the likeliest cause. */
+/** Largest number of requests in one report. The newest ones are kept, as they are the most likely causes. */
 const MAX_SUSPECTS = 192;
-/** Incarnations that are remembered as crashed: late ends of runs ask for the latest few. */
+/** Largest number of crashed incarnations kept for runs that end late. */
 const MAX_CRASHED = 16;
 
-/** What became of a target after a connection to it broke. */
+/** State of a target after a connection to it broke. */
 export interface TargetState {
   readonly isDown: boolean;
-  /** Different requests that it was at work on when it ended; 0 where it is up. */
+  /** Number of different requests in flight when the target crashed; 0 if it is up. */
   readonly underWay: number;
 }
 
 const UP: TargetState = { isDown: false, underWay: 0 };
 
-/** One request in the target. */
+/** The run of one request in the target. */
 export class WatchedRun {
   constructor(
     private readonly watch: CrashWatch,
@@ -59,18 +57,17 @@
     readonly fingerprint: string,
   ) {}
 
-  /** The run is over. Further calls do nothing. */
+  /** Ends the run. Further calls do nothing. */
   end(end: RunEnd): void {
     this.watch.onEnd(this, end);
   }
 
-  /** After a broken connection: what became of the target that worked on the request. */
+  /** Checks after a broken connection whether the target that ran the request has crashed. */
   targetState(): Promise<TargetState> {
     return this.watch.stateOf(this.incarnation);
   }
 }
 
-/** A run that ended without an answer. */
 interface LostRun {
   readonly run: WatchedRun;
   readonly lostAt: number;
@@ -79,14 +76,14 @@
 export class CrashWatch {
   private readonly underWay = new Set<WatchedRun>();
   private lost: LostRun[] = [];
-  /** States of incarnations that have crashed. */
+  /** States of crashed incarnations, by name. */
   private readonly crashed = new Map<string, TargetState>();
   private last: TargetReport | undefined;
   private probe: Promise<void> | undefined;
 
   constructor(private readonly options: CrashWatchOptions) {}
 
-  /** A request is about to be sent to the target. */
+  /** Registers a request that is about to be sent to the target. */
   begin(fingerprint: string): WatchedRun {
     const target = this.options.target();
     const incarnation = target === undefined ? '' : incarnationName(target);
@@ -104,7 +101,7 @@
     this.lost.push({ run, lostAt: now });
   }
 
-  /** The target in use may be another one. */
+  /** Must be called when the target in use or its state may have changed. */
   onTarget(report: TargetReport | undefined): void {
     if (report === undefined) return;
     const { last } = this;
@@ -113,7 +110,7 @@
     if (last.state !== 'leaving') this.onCrash(incarnationName(last));
   }
 
-  /** What became of an incarnation, as far as its port says. */
+  /** Returns the state of an incarnation. Probes its port if it is the one in use. */
   async stateOf(incarnation: string): Promise<TargetState> {
     const target = this.options.target();
     if (target !== undefined && incarnationName(target) === incarnation) {
@@ -140,7 +137,7 @@
     this.options.onCrash({ instance: incarnation, fingerprints });
   }
 
-  /** Requests that were in the target when it ended, each once, the newest first. */
+  /** Returns the distinct requests that were in flight when the target crashed, newest first. */
   private requestsInTarget(incarnation: string): string[] {
     const since = this.options.clock.now() - LOST_RUN_TTL_MS;
     const lost = this.lost.filter(({ lostAt }) => lostAt >= since).map(({ run }) => run);
--- a/src/quarantine/request-fingerprint.ts
+++ b/src/quarantine/request-fingerprint.ts
@@ -1,41 +1,36 @@
 /**
- * The identity of a request that comes again: its service, method, host, path with query and body, and the service that
- * calls. Request ids and other headers differ each time and are left out.
+ * Fingerprints identify a request that is sent repeatedly. The first part is a hash of the service, method, host, path with
+ * query, and body; request ids and other headers differ each time and are left out. The second part is a hash of the
+ * calling service, so that a request can be recognized from one caller or from all of them.
  *
- * A fingerprint has two parts, the second of which is the caller's: whether a request is dangerous whoever sends it, or only
- * from one caller, is for the evidence to tell. With the caller as part of one hash, a request that came by the machines of
- * four services crashed 13 targets before each of the four was known.
- *
- * A body that is streamed counts with its first part and its declared length, since a target begins its work before the
+ * Of a streamed body, only the beginning and the declared length are hashed, because a target may begin to work before the
  * rest has arrived.
- *
- * Computed at the ingress and sent along; every process gives a request the same fingerprint. Relies on nothing.
  */
 import { hash } from 'node:crypto';
 
-/** What makes two requests the same one. */
+/** The properties of a request that are hashed. */
 export interface RequestIdentity {
   readonly service: string;
   readonly callingService: string;
   readonly method: string;
   readonly host: string;
-  /** With its query. */
+  /** Includes the query. */
   readonly path: string;
-  /** Declared length of a body that is streamed; undefined where the body is whole or has no length. */
+  /** Declared length of a streamed body; undefined if the body is complete or has no declared length. */
   readonly streamedLength: string | undefined;
-  /** The whole body, or the first part of one that is streamed. */
+  /** The whole body, or the beginning of a streamed one. */
   readonly bodyStart: Buffer | null;
 }
 
-/** Hexadecimal digits of what is asked: 80 bits, so that no request can be made to look like a given other one. */
+/** Hexadecimal digits of the request's hash: 80 bits, so that a request with a given fingerprint can't be constructed. */
 const REQUEST_DIGITS = 20;
-/** Of the caller: a deployment has some hundred services, so 32 bits tell them apart. */
+/** Hexadecimal digits of the caller's hash: 32 bits, enough to distinguish a few hundred services. */
 const CALLER_DIGITS = 8;
 const CALLER_MARK = '-';
-/** No part of a request's head can contain it (RFC 9112, section 2.2). */
+/** Cannot occur in the head of a request (RFC 9112, section 2.2). */
 const SEPARATOR = '\n';
 
-/** The fingerprint of a request: the same for each time that it comes, in every process. */
+/** Returns the fingerprint of a request, which is the same in every process. */
 export function fingerprintOf(identity: RequestIdentity): string {
   const { service, callingService, method, host, path, streamedLength, bodyStart } = identity;
   const head = [service, method, host, path, streamedLength ?? '', ''].join(SEPARATOR);
@@ -44,19 +39,19 @@
   return request + CALLER_MARK + callerPart(callingService);
 }
 
-/** The part of a fingerprint that is the same whoever calls. */
+/** Returns the part of a fingerprint that doesn't depend on the caller. */
 export function withoutCaller(fingerprint: string): string {
   return fingerprint.slice(0, REQUEST_DIGITS);
 }
 
-/** Whether a fingerprint names the caller, too. */
+/** Whether a fingerprint includes the caller. */
 export function hasCaller(fingerprint: string): boolean {
   return fingerprint.length > REQUEST_DIGITS;
 }
 
 const callerParts = new Map<string, string>();
 
-/** A process sends for one service, and now and then for another one. */
+/** Cached, as a process sends requests for few services. */
 function callerPart(callingService: string): string {
   const known = callerParts.get(callingService);
   if (known !== undefined) return known;
--- a/src/routing/balancer.ts
+++ b/src/routing/balancer.ts
@@ -1,9 +1,6 @@
 /**
- * The endpoints of one service as one caller uses them: adopts the list of endpoints, chooses one for each attempt
- * (target-choice.ts), and learns from how attempts end.
- *
- * Owns the views of the endpoints in the caller's subset, the usual latencies, and which endpoints said that they leave.
- * Relies on callers that end each pick once.
+ * Client-side load balancer for one service. Selects the caller's subset of the endpoints, chooses one of them for each
+ * attempt (target-choice.ts), and updates its view of the endpoint when the attempt ends.
  */
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
@@ -14,46 +11,43 @@
 import { chooseSubset } from './subset.js';
 import { chooseTarget } from './target-choice.js';
 
-/** Weight of one report in the mean of the limits: about the last five count. */
+/** Smoothing factor of the mean of the reported limits, an exponential moving average over about five reports. */
 const LIMIT_WEIGHT = 0.2;
 
 /**
- * A node that said that it leaves is passed over for this long in milliseconds, whatever lists say: longer than lists lag
- * behind it. An incarnation that is back is another one.
+ * How long an endpoint that announced its shutdown is skipped, in milliseconds, even if endpoint lists still contain it.
+ * Exceeds the delay of the lists. Applies to one incarnation: a restarted endpoint is used at once.
  */
 const LEAVING_TTL_MS = 60_000;
 
-/**
- * Latency ratio that a refusal of a gate whose target is not available counts as: its calls are to go elsewhere for a while.
- */
+/** Latency ratio recorded when a gate has no available target, so that calls go to other endpoints for a while. */
 const UNAVAILABLE_RATIO = 12;
 
-/** What a balancer is made of. */
 export interface BalancerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly callerId: string;
   readonly callerZone: string;
-  /** Time over which a new endpoint takes up its load, in milliseconds; 0: at once. */
+  /** Duration of the slow start of a new endpoint, in milliseconds; 0 disables it. */
   readonly slowStartMs: () => number;
 }
 
-/** The attempt at the chosen endpoint. */
+/** The endpoint chosen for an attempt. */
 export interface EndpointPick {
   readonly endpoint: EndpointRecord;
-  /** Whether its gate would let a repeat through, as it said last; true where it has said nothing. */
+  /** Whether the gate accepts repeated calls according to its last report; true without a report. */
   readonly acceptsRepeats: boolean;
   /**
    * Must be called once, when the attempt is over.
-   * @param outcome what the node reported; its refusals say nothing about the target's speed
+   * @param outcome what the node reported; the latency of a refusal says nothing about the target
    */
   end(result: EndpointResult, outcome: ReportedOutcome | undefined): void;
 }
 
-/** What an outcome tells of an endpoint. */
+/** The fields of an outcome that concern the endpoint. */
 type ReportedOutcome = Pick<Outcome, 'refusal' | 'load' | 'crashNote'>;
 
-/** The end of the attempt at a chosen endpoint. */
+/** How the attempt at a chosen endpoint ended. */
 interface PickEnd {
   readonly trafficClass: string;
   /** Monotonic milliseconds. */
@@ -67,12 +61,12 @@
   private readonly baseline = new LatencyBaseline();
   private readonly leavingUntil = new Map<string, number>();
   private hasSeenEndpoints = false;
-  /** Mean of the limits that nodes have reported lately, in calls. */
+  /** Exponential moving average of the limits that nodes reported, in calls. */
   private meanLimit = 1;
 
   constructor(private readonly options: BalancerOptions) {}
 
-  /** Adopts a new list of the service's endpoints. */
+  /** Replaces the list of the service's endpoints. */
   update(records: readonly EndpointRecord[]): void {
     const now = this.options.clock.now();
     const ready = records.filter((record) => record.state === 'ready');
@@ -91,20 +85,20 @@
     this.hasSeenEndpoints ||= subset.length > 0;
   }
 
-  /** Usual latency of a traffic class in milliseconds, as far as it is known. */
+  /** Average latency of a traffic class over all endpoints, in milliseconds; undefined before enough answers. */
   usualLatencyMs(trafficClass: string): number | undefined {
     return this.baseline.usualLatencyMs(trafficClass);
   }
 
-  /** Records that an endpoint itself said that it is leaving. */
+  /** Records that an endpoint announced its shutdown. */
   markLeaving(endpoint: EndpointRecord): void {
     this.leavingUntil.set(leavingKey(endpoint), this.options.clock.now() + LEAVING_TTL_MS);
   }
 
   /**
-   * Chooses an endpoint and counts the attempt as started.
+   * Chooses an endpoint and counts the attempt as in flight. Returns undefined if there are no candidates.
    * @param excluded ids of endpoints that this call has already tried
-   * @param trafficClass names calls that take about the same time at every endpoint
+   * @param trafficClass groups calls that take about the same time at every endpoint
    */
   pick(excluded: ReadonlySet<string>, trafficClass: string): EndpointPick | undefined {
     const now = this.options.clock.now();
@@ -135,6 +129,7 @@
       view.onLatency(this.baseline.record(trafficClass, now - startedAt), now);
       return;
     }
+    // An attempt without an answer gives a lower bound of the latency.
     const leastRatio = isUnavailable(outcome)
       ? UNAVAILABLE_RATIO
       : this.baseline.ratioOf(trafficClass, now - startedAt);
@@ -156,7 +151,7 @@
   }
 }
 
-/** Whether the gate has no target for calls now. What it says of one request that crashes targets is none of its others. */
+/** Whether the gate has no available target. A refusal with a crash note concerns only the one request. */
 function isUnavailable(outcome: ReportedOutcome | undefined): boolean {
   return outcome?.refusal === 'unavailable' && outcome.crashNote === undefined;
 }
--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -1,6 +1,6 @@
 /**
- * One endpoint as this caller sees it: its own calls in flight, how slow it is, the load that its gate reported, failures.
- * Owns what is learned of one endpoint. Relies on the balancer for the order of events and for the usual latencies.
+ * State of one endpoint as seen by this caller: its own calls in flight, the latency, the load that the gate reported, and
+ * failures. Computes the cost by which endpoints are compared.
  */
 import type { LoadReport } from '../call/outcome.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
@@ -8,30 +8,27 @@
 import { OutlierDetector } from './outlier-detector.js';
 import type { Candidate, CostContext } from './target-choice.js';
 
-/** Weight of one answer in the latency ratio: about the last five count. */
+/** Smoothing factor of the latency ratio, an exponential moving average over about five answers. */
 const LATENCY_RATIO_WEIGHT = 0.2;
 
-/** A larger multiple counts as this one: a single answer is not to keep an endpoint out for long. */
+/** Cap for a single sample of the latency ratio, so that one slow answer doesn't keep calls away for long. */
 const MAX_LATENCY_RATIO = 20;
 
 /**
- * Without answers, an endpoint that was slow is taken for usual again with this time constant, in milliseconds: it gets few
- * calls, and one that has recovered is to get more.
+ * Time constant with which the latency ratio decays to 1 between answers, in milliseconds. A slow endpoint gets few calls;
+ * without the decay, its recovery would not be noticed.
  */
 const LATENCY_RATIO_DECAY_MS = 3_000;
 
-/**
- * Time constant with which a reported load fades, in milliseconds: reports are old where calls are few. 300 and 10,000 do as
- * well, within the spread of the seeds (docs/design/routing.md).
- */
+/** Time constant with which a reported load decays, in milliseconds. Reports become outdated when calls are rare. */
 const LOAD_DECAY_MS = 1_000;
 
-/** Part of its full load that an endpoint gets right after it appears: enough for it to warm up by. */
+/** Weight at the beginning of the slow start, as a fraction of the full weight: a few calls are needed to warm up. */
 const MIN_SLOW_START_WEIGHT = 0.1;
 
 export class EndpointView implements Candidate {
   private inFlight = 0;
-  /** Latency as a multiple of what is usual for the same traffic classes, as of `latencyRatioAt`. */
+  /** Latency as a multiple of the baseline of the same traffic classes, as of `latencyRatioAt`. */
   private latestLatencyRatio = 1;
   /** Monotonic milliseconds. */
   private latencyRatioAt = 0;
@@ -39,10 +36,10 @@
   /** Monotonic milliseconds. */
   private loadAt = 0;
   private readonly outliers = new OutlierDetector();
-  /** When it began to take up load, in monotonic milliseconds. */
+  /** Start of the slow start, in monotonic milliseconds; -Infinity if there is none. */
   private slowStartFrom: number;
 
-  /** @param appearedAt when the endpoint was first seen; -Infinity for one that is already warm */
+  /** @param appearedAt when the endpoint was first seen, in monotonic milliseconds; -Infinity if it is already warm */
   constructor(
     public record: EndpointRecord,
     appearedAt: number,
@@ -50,7 +47,7 @@
     this.slowStartFrom = appearedAt;
   }
 
-  /** Adopts a newer announcement. A new incarnation starts cold. */
+  /** Replaces the record. A new incarnation begins with a slow start and without reported load. */
   update(record: EndpointRecord, now: number): void {
     if (record.incarnation !== this.record.incarnation) {
       this.slowStartFrom = now;
@@ -64,7 +61,7 @@
     return this.record.zone;
   }
 
-  /** Whether the gate would let a repeat through, as it said last; true where it has said nothing. */
+  /** Whether the gate accepts repeated calls according to its last report; true without a report. */
   get acceptsRepeats(): boolean {
     return this.load?.repeatRoom !== RepeatRoom.None;
   }
@@ -77,14 +74,14 @@
     this.inFlight += 1;
   }
 
-  /** Ends what {@link onStart} began. */
+  /** Must be called once for each {@link onStart}. */
   onEnd(result: EndpointResult, now: number): void {
     this.inFlight -= 1;
     if (result === 'failed') this.outliers.onFailure(now);
     if (result === 'answered') this.outliers.onSuccess(now);
   }
 
-  /** An answer of the target took this multiple of the usual latency. */
+  /** Records a latency as a multiple of the baseline. */
   onLatency(ratio: number, now: number): void {
     const before = this.latencyRatio(now);
     const sample = Math.min(ratio, MAX_LATENCY_RATIO);
@@ -92,13 +89,13 @@
     this.latencyRatioAt = now;
   }
 
-  /** Records the load that the node reported with an answer. */
+  /** Records the load that the gate reported with an answer. */
   onLoad(load: LoadReport, now: number): void {
     this.load = load;
     this.loadAt = now;
   }
 
-  /** What is in flight relative to the gate's limit, times the latency ratio, divided by how warm it is. Lower is better. */
+  /** Occupancy times latency ratio, divided by the weight of the slow start. Lower is better. */
   cost(context: CostContext): number {
     return (this.occupancy(context) * this.latencyRatio(context.now)) / this.warmupWeight(context);
   }
@@ -108,7 +105,10 @@
     return 1 + (this.latestLatencyRatio - 1) * kept;
   }
 
-  /** A gate that has reported no limit has the mean one: taken for full, one that came back got no calls to report with. */
+  /**
+   * Uses the mean limit until the gate has reported its own: if a restarted endpoint counted as full, it would get no calls
+   * to report a limit with.
+   */
   occupancy({ now, meanLimit }: CostContext): number {
     const limit = this.load?.limit ?? meanLimit;
     const reported = this.load === undefined ? 0 : this.reportedInFlight(now, this.load);
--- a/src/routing/latency-baseline.ts
+++ b/src/routing/latency-baseline.ts
@@ -1,22 +1,22 @@
 /**
- * The usual latency of each traffic class over all endpoints of a service, so that endpoints can be compared whatever mix
- * of requests each of them got. Owns those latencies; relies on a target's true answers being passed in alone.
+ * Average latency of each traffic class over all endpoints of a service. Endpoints are compared relative to it, so that the
+ * mix of requests which each of them got doesn't matter. Refusals must not be recorded: they are faster than answers.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 
-/** Weight of one answer in the usual latency: about the last twenty count. */
+/** Smoothing factor of the exponential moving average, which covers about twenty answers. */
 const SMOOTHING_FACTOR = 0.05;
 
-/** A larger multiple counts as this one: a few slow endpoints are not to become what is usual. */
+/** Cap for a single sample as a multiple of the average, so that a few slow endpoints don't raise it much. */
 const MAX_RATIO = 2;
 
-/** Classes that are remembered, a bound on memory; routes come and go with the configuration. */
+/** Largest number of traffic classes kept. Bounds memory when routes are added and removed. */
 const MAX_CLASSES = 1_000;
 
-/** Shorter latencies count as this one, in milliseconds, so that their ratios mean something. */
+/** Shorter latencies count as this many milliseconds, so that ratios of them are meaningful. */
 const MIN_LATENCY_MS = 1;
 
-/** Answers of a class before its usual latency is told: as many as its mean reaches back. */
+/** Number of answers from which the average of a class is reported: as many as it covers. */
 const MIN_ANSWERS = 20;
 
 interface UsualLatency {
@@ -27,19 +27,19 @@
 export class LatencyBaseline {
   private readonly usual = new BoundedMap<UsualLatency>(MAX_CLASSES);
 
-  /** Usual latency of a traffic class in milliseconds; undefined before {@link MIN_ANSWERS} answers. */
+  /** Average latency of a traffic class in milliseconds; undefined before {@link MIN_ANSWERS} answers. */
   usualLatencyMs(trafficClass: string): number | undefined {
     const usual = this.usual.get(trafficClass);
     return usual === undefined || usual.answers < MIN_ANSWERS ? undefined : usual.latencyMs;
   }
 
-  /** A latency as a multiple of the usual one of its class; 0 where that is not known. */
+  /** Returns a latency as a multiple of the average of its class; 0 if the class has no answers yet. */
   ratioOf(trafficClass: string, latencyMs: number): number {
     const usual = this.usual.get(trafficClass);
     return usual === undefined ? 0 : latencyMs / usual.latencyMs;
   }
 
-  /** Learns the latency of one answer. @returns the latency as a multiple of the usual one */
+  /** Records the latency of one answer. @returns the latency as a multiple of the previous average */
   record(trafficClass: string, latencyMs: number): number {
     const latency = Math.max(MIN_LATENCY_MS, latencyMs);
     const known = this.usual.get(trafficClass);
--- a/src/routing/nested-routes.ts
+++ b/src/routing/nested-routes.ts
@@ -1,21 +1,20 @@
 /**
- * The routes whose calls targets make, as gates say with their answers. A single gate may be wrong, or not know yet, and
- * routes change: what most of the latest answers say holds. Owns what one process learned; a gate draws its own
- * conclusion from where calls begin (origin-tracker.ts).
+ * Tracks which routes are nested, that is, called by targets and not by clients. Gates report this with their answers
+ * (origin-tracker.ts). As a single gate may be wrong or may not know yet, the majority of the latest answers decides.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 
-/** Weight of one answer: what the last ten or so say counts. */
+/** Smoothing factor of the exponential moving average, which covers about ten answers. */
 const SMOOTHING_FACTOR = 0.1;
 
-/** Part of the latest answers above which they are believed. */
+/** Fraction of the latest answers above which a route counts as nested. */
 const MAJORITY = 0.5;
 
-/** Routes that are remembered, a bound on memory; routes come and go with the configuration. */
+/** Largest number of routes kept. Bounds memory when routes are added and removed. */
 const MAX_ROUTES = 1_000;
 
 export class NestedRoutes {
-  /** Part of the latest answers that said so, by route. */
+  /** Fraction of the latest answers that reported the route as nested, by route. */
   private readonly nestedFractions = new BoundedMap<number>(MAX_ROUTES);
 
   /** Whether targets make the calls of `route`. */
@@ -23,7 +22,7 @@
     return (this.nestedFractions.get(route) ?? 0) > MAJORITY;
   }
 
-  /** A gate answered a call of `route`. @returns whether {@link has} has changed by it */
+  /** Records the answer of a gate to a call of `route`. @returns whether {@link has} has changed */
   onAnswer(route: string, isNested: boolean): boolean {
     const before = this.has(route);
     const part = this.nestedFractions.get(route);
--- a/src/routing/origin-tracker.ts
+++ b/src/routing/origin-tracker.ts
@@ -1,50 +1,47 @@
 /**
- * Tells calls that targets make from requests of clients. Clients are on the machines of every service, targets only on
- * their own: a route whose requests begin on the machines of a few services is one that those services call. Learned from
- * the calls that arrive, and forgotten with time, so that it follows the configuration.
- *
- * Owns the counts of one gate. Relies on clients that are spread over the machines of all services.
+ * Distinguishes nested calls, which targets make, from requests of clients. Assumes that clients are spread over the
+ * machines of all services: if the calls of a route come from the machines of only a few services, the targets there make
+ * them. Counts the calls that arrive at one gate; old calls decay, so that configuration changes are followed.
  */
 
-/** Calls of a route at which its counts are halved, so that old calls fade. */
+/** Number of calls of a route at which its counts are halved, so that old calls decay. */
 const MAX_CALLS = 2_000;
 
-/** Part of the calls expected from its machines below which a service is no origin: strays. */
+/** Fraction of the calls expected from its machines up to which a service is no origin. Tolerates stray calls. */
 const MIN_FRACTION_OF_EXPECTED = 0.1;
 
-/** Routes with no more than this part of the services as origins are called by targets. */
+/** Largest fraction of the services that may be origins of a nested route. */
 const MAX_ORIGIN_FRACTION = 0.5;
 
-/** With fewer services nothing can be concluded: the only one has all calls. */
+/** Smallest number of services for a decision: with a single one, all calls come from it. */
 const MIN_SERVICES = 2;
 
 /**
- * Calls that clients would have made from the services without any, before their absence means something. With independent
- * calls the chance to be wrong is exp(-14), one in a million. Of 300 drawn gates none is mistaken
- * (test/routing/origin-tracker.test.ts), where a fixed number of 20 calls mistook 3.
+ * Number of calls to expect from clients on the absent services before their absence is significant. For independent calls,
+ * the probability of a wrong decision is exp(-14), one in a million.
  */
 const MIN_EXPECTED_CALLS = 14;
 
 /**
- * Machines of those services that are expected to call here, before their absence means something: each machine uses a few
- * gates of a service alone, so at one gate of many the calls of clients come from few machines again and again. By calls
- * alone such a gate took clients' requests for those of targets for good, and limited none of them.
+ * Number of machines of the absent services to expect as callers of this gate before their absence is significant. Each
+ * machine calls only a subset of the gates, so that the calls at one gate are not independent: their number alone would
+ * classify requests of clients as nested.
  */
 const MIN_EXPECTED_CALLERS = 7;
 
 /**
- * Expected calls, and expected callers, from which a route is presumed to be called by targets: about what comes while the
- * first limit of a kind is used up.
+ * Number of expected calls and of expected callers from which a route is presumed to be nested: about as many as arrive
+ * before the first limit of a kind is reached.
  */
 const MIN_EXPECTED_TO_PRESUME = 3;
 
-/** Calls of a route after which a conclusion is drawn anew, but for the first ones: it costs a look at every service. */
+/** Calls of a route between two evaluations, except for the first ones: an evaluation iterates over all services. */
 const CALLS_PER_EVALUATION = 20;
 
-/** Who makes the calls of a route, as far as is known. */
+/** Who makes the calls of a route. */
 enum CallerType {
   Unknown,
-  /** Nothing speaks against targets yet, but little has been seen. */
+  /** All calls so far suggest targets, but there are too few to decide. */
   PresumedTargets,
   Targets,
 }
@@ -53,7 +50,7 @@
   total: number;
   readonly byService: Map<string, number>;
   callerType: CallerType;
-  /** Calls until the next conclusion. */
+  /** Calls until the next evaluation. */
   callsUntilEvaluation: number;
 }
 
@@ -62,14 +59,14 @@
 
   /**
    * @param machines number of machines of each service
-   * @param callingPart part of all machines that send calls to this gate, 0 to 1. Default: all
+   * @param callingPart fraction of all machines that send calls to this gate, 0 to 1. Default: 1
    */
   constructor(
     private readonly machines: () => ReadonlyMap<string, number>,
     private readonly callingPart: () => number = () => 1,
   ) {}
 
-  /** A call arrived on `route` that began on a machine of `service`. */
+  /** Records a call on `route` that originated on a machine of `service`. */
   onCall(route: string, service: string): void {
     const origins = this.origins(route);
     origins.total += 1;
@@ -82,12 +79,12 @@
     origins.callerType = classifyCaller(origins, this.machines(), this.callingPart());
   }
 
-  /** Whether targets make the calls of `route`, as far as is known. */
+  /** Whether targets make the calls of `route`; false until there are enough calls to decide. */
   isNested(route: string): boolean {
     return this.routes.get(route)?.callerType === CallerType.Targets;
   }
 
-  /** Whether all that was seen yet suggests that targets make the calls of `route`, however little that is. */
+  /** Whether the calls of `route` so far suggest that targets make them, even if there are too few to decide. */
   isPresumedNested(route: string): boolean {
     const callerType = this.routes.get(route)?.callerType ?? CallerType.Unknown;
     return callerType !== CallerType.Unknown;
@@ -126,7 +123,7 @@
   }
   if (present > services.size * MAX_ORIGIN_FRACTION) return CallerType.Unknown;
   const expectedCalls = (origins.total * absentMachines) / allMachines;
-  // Where all machines call here, calls are as independent as their callers.
+  // If all machines call this gate, the calls are independent and need no minimum number of callers.
   const expectedCallers = callingPart < 1 ? absentMachines * callingPart : Infinity;
   if (expectedCalls >= MIN_EXPECTED_CALLS && expectedCallers >= MIN_EXPECTED_CALLERS) {
     return CallerType.Targets;
--- a/src/routing/outlier-detector.ts
+++ b/src/routing/outlier-detector.ts
@@ -1,15 +1,15 @@
 /**
- * Ejects an endpoint after failures in a row, and lets it back after a time that grows with each ejection. Owns the
- * failures of one endpoint. How many endpoints may be out at once is decided where one is chosen (target-choice.ts).
+ * Ejects an endpoint after consecutive failures, for a time that doubles with each ejection. How many endpoints may be
+ * ejected at the same time is limited in target-choice.ts.
  */
 
-/** Failures in a row that eject: one or two are a lost connection or a restart. */
+/** Number of consecutive failures that eject an endpoint. One or two may be a lost connection or a restart. */
 const CONSECUTIVE_FAILURES = 3;
 
-/** Length of the first ejection, in milliseconds; each further one is twice as long. */
+/** Duration of the first ejection, in milliseconds. Each further one is twice as long. */
 const BASE_EJECTION_MS = 1_000;
 
-/** Longest ejection, in milliseconds: an endpoint that has recovered is found by then. */
+/** Longest ejection, in milliseconds. Bounds the time until a recovered endpoint is used again. */
 const MAX_EJECTION_MS = 30_000;
 
 export class OutlierDetector {
@@ -17,25 +17,22 @@
   private ejections = 0;
   private ejectedUntil = -Infinity;
 
-  /** Whether the endpoint is out of use. */
   isEjected(now: number): boolean {
     return now < this.ejectedUntil;
   }
 
-  /** The endpoint answered. */
   onSuccess(now: number): void {
     this.failuresInRow = 0;
     if (!this.isEjected(now)) this.ejections = 0;
   }
 
-  /** The endpoint failed. */
   onFailure(now: number): void {
     this.failuresInRow += 1;
     if (this.failuresInRow < CONSECUTIVE_FAILURES || this.isEjected(now)) return;
     const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** this.ejections);
     this.ejections += 1;
     this.ejectedUntil = now + ejectionMs;
-    // One more failure after the return ejects again at once.
+    // After the ejection, a single failure ejects the endpoint again.
     this.failuresInRow = CONSECUTIVE_FAILURES - 1;
   }
 }
--- a/src/routing/service-directory.ts
+++ b/src/routing/service-directory.ts
@@ -1,11 +1,8 @@
-/**
- * The balancers of one process, one for each service it calls. Owns them and the latest list of endpoints; relies on
- * membership for that list.
- */
+/** Holds the latest list of endpoints of all services, and a {@link Balancer} for each service that the process calls. */
 import { Balancer, type BalancerOptions } from './balancer.js';
 import type { EndpointRecord } from '../call/endpoint.js';
 
-/** What a directory is made of; the slow start time is looked up by service. */
+/** Options of the balancers; the duration of the slow start depends on the service. */
 export interface DirectoryOptions extends Omit<BalancerOptions, 'slowStartMs'> {
   readonly slowStartMs: (service: string) => number;
 }
@@ -17,7 +14,7 @@
 
   constructor(private readonly options: DirectoryOptions) {}
 
-  /** Adopts a new endpoint list of all services. */
+  /** Replaces the list of endpoints of all services. */
   update(records: Iterable<EndpointRecord>): void {
     const byService = new Map<string, EndpointRecord[]>();
     for (const record of records) {
@@ -34,17 +31,17 @@
     }
   }
 
-  /** Number of endpoints of each service that has any. */
+  /** Number of endpoints by service; services without endpoints are missing. */
   get machines(): ReadonlyMap<string, number> {
     return this.endpointCounts;
   }
 
-  /** Whether any endpoint of the service is known. */
+  /** Whether the service has at least one known endpoint. */
   has(service: string): boolean {
     return this.recordsByService.has(service);
   }
 
-  /** Origins of all endpoints known. */
+  /** Returns the origins of all known endpoints. */
   origins(): Set<string> {
     const origins = new Set<string>();
     for (const records of this.recordsByService.values()) {
@@ -53,7 +50,7 @@
     return origins;
   }
 
-  /** The balancer of a service, made when it is first called. */
+  /** Returns the balancer of a service, created on first use. */
   balancer(service: string): Balancer {
     let balancer = this.balancers.get(service);
     if (balancer === undefined) {
--- a/src/routing/subset.ts
+++ b/src/routing/subset.ts
@@ -1,26 +1,23 @@
 /**
- * The endpoints of a service that one caller uses. Each caller takes those with the highest
- * rendezvous hash of (caller, endpoint), so that connections stay bounded, load spreads evenly over
- * callers, and a change of one endpoint moves few callers. Pure.
+ * Selects the subset of a service's endpoints that one caller uses: those with the highest rendezvous hash of
+ * (caller, endpoint). This bounds the number of connections, spreads the callers evenly over the endpoints, and changes few
+ * subsets when an endpoint is added or removed.
  */
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { EndpointRecord } from '../call/endpoint.js';
 
-/**
- * Endpoints of one service that a caller holds connections to. More of them mean more connections a process (at most 960
- * links at 120 services, by reckoning), fewer leave less choice.
- */
+/** Largest number of endpoints in a subset. Larger subsets need more connections, smaller ones leave less choice. */
 const SUBSET_SIZE = 8;
 
-/** Part of all callers that have one endpoint of a service in their subset. @param endpoints of the service */
+/**
+ * Returns the fraction of all callers that have a given endpoint in their subset, 0 to 1.
+ * @param endpoints number of endpoints of the service
+ */
 export function callingPart(endpoints: number): number {
   return Math.min(1, SUBSET_SIZE / Math.max(1, endpoints));
 }
 
-/**
- * Picks the subset. Half of it, at least, comes from the caller's own zone when that zone has
- * enough endpoints, so that calls can stay there.
- */
+/** Selects the subset. If the caller's zone has enough endpoints, at least half of the subset comes from that zone. */
 export function chooseSubset(
   callerId: string,
   callerZone: string,
--- a/src/routing/weighted-split.ts
+++ b/src/routing/weighted-split.ts
@@ -1,16 +1,13 @@
 /**
- * Spreads the requests of a route over its backends in proportion to their weights, with the smooth
- * weighted round robin of nginx: after any number of requests each backend is within one request of
- * its share. One sequence a route and process, begun at a random point so that processes that start
- * together do not choose alike.
- *
- * Owns the sequences of one process; relies on route names that are unique within the configuration in force.
+ * Distributes the requests of a route over its backends in proportion to their weights, with the smooth weighted round
+ * robin of nginx. Each process starts the sequence of a route at a random point, so that processes that start at the same
+ * time don't choose the same backends.
  */
 import type { RandomSource } from '../common/random.js';
 import type { Backend, Route } from '../policy/route-table.js';
 
 interface Sequence {
-  /** Weights that the sequence was begun for. */
+  /** Backends and weights that the sequence was created for. */
   readonly weights: string;
   readonly total: number;
   readonly credits: number[];
@@ -21,7 +18,7 @@
 
   constructor(private readonly random: RandomSource) {}
 
-  /** The service of the next request on `route`. */
+  /** Returns the service for the next request on `route`. */
   next(route: Route): string {
     const { backends } = route;
     if (backends.length === 1) return backends[0]!.service;
--- a/test/quarantine/crash-evidence.test.ts
+++ b/test/quarantine/crash-evidence.test.ts
@@ -6,13 +6,13 @@
 const GAP_MS = 400;
 const SETTLED_MS = 1_000;
 
-/** As the product's fingerprints: what is asked, and the caller unless it does not matter. */
+/** Has the format of a real fingerprint: the request, followed by the caller if there is one. */
 function fingerprint(name: string, caller?: string): string {
   const request = name.padEnd(20, '0');
   return caller === undefined ? request : `${request}-${caller}`;
 }
 
-/** Of the usual caller of these tests. */
+/** Fingerprint of a request from the default caller of these tests. */
 function of(name: string): string {
   return fingerprint(name, 'a');
 }
@@ -28,7 +28,7 @@
     crashes = 0;
   });
 
-  /** A crash under these requests, which all come by one caller. */
+  /** Reports a crash with these requests in flight, all from the default caller. */
   function crash(...names: string[]): void {
     crashBy('a', ...names);
   }
@@ -155,7 +155,7 @@
         evidence = new CrashEvidence(clock);
         for (const each of others) {
           crash('bad', ...each);
-          // Each of the innocent ones ends well somewhere between two crashes.
+          // The other requests succeed between two crashes.
           acquit(...each);
         }
         expect(blamed()).to.deep.equal([of('bad')]);
--- a/test/routing/balancer.test.ts
+++ b/test/routing/balancer.test.ts
@@ -12,7 +12,7 @@
   return { id, incarnation: 1, service: 'ledger', zone, origin, state: 'ready' };
 }
 
-/** Two endpoints in the caller's zone and two in another one. */
+/** A balancer with two endpoints in the caller's zone and two in another one. */
 function balancer() {
   const clock = new VirtualClock();
   const made = new Balancer({
@@ -28,7 +28,7 @@
     endpoint('f3', 'far'),
     endpoint('f4', 'far'),
   ]);
-  /** Sends calls one after the other. @returns how many each endpoint got */
+  /** Sends calls one after the other. @returns the number of calls by endpoint */
   const send = (calls: number, latencyMs: (id: string) => number): Map<string, number> => {
     const counts = new Map<string, number>();
     for (let call = 0; call < calls; call += 1) {
--- a/test/routing/origin-tracker.test.ts
+++ b/test/routing/origin-tracker.test.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from '../../src/common/random.js';
 import { OriginTracker } from '../../src/routing/origin-tracker.js';
 
-/** Machines of each service: clients are on all of them alike. */
+/** Clients run on all of these machines and send equally many requests. */
 const UNEVEN_MACHINES = [
   { service: 'plans', machines: 31 },
   { service: 'ledger', machines: 22 },
@@ -12,7 +12,7 @@
 const MACHINE_COUNT = 63;
 const DRAWN_GATES = 300;
 
-/** The service of the machine on which the next request of a client begins. */
+/** Draws the service of the machine from which a client sends its next request. */
 function drawOrigin(random: SeededRandom): string {
   let machine = random.below(MACHINE_COUNT);
   for (const { service, machines } of UNEVEN_MACHINES) {
@@ -81,7 +81,7 @@
   });
 });
 
-/** A fleet in which each machine calls 8 of the gates of a service. */
+/** A deployment in which each machine calls only {@link SUBSET} of the gates of a service. */
 const LARGE_MACHINES = [
   { service: 'search', machines: 95 },
   { service: 'registry', machines: 68 },
@@ -92,7 +92,7 @@
 const SUBSET = 8;
 const LARGE_CALLS = 400;
 
-/** The services of the machines that have one gate of `gates` in their subsets, one entry a machine. */
+/** Draws the machines that have one of `gates` gates in their subsets. Returns the service of each of them. */
 function drawCallers(random: SeededRandom, gates: number): string[] {
   return LARGE_MACHINES.flatMap(({ service, machines }) =>
     Array.from({ length: machines }, () => service).filter(() => random.next() < SUBSET / gates),
@@ -100,10 +100,8 @@
 }
 
 /**
- * Symptom: 8 of 95 gates never limited the requests of a kind that clients send, and let them wait as long as calls of
- * targets may. Sequence: of 195 machines each calls 8 of 95 gates, so a gate has some sixteen callers; at 6% of the gates
- * none of them is on a machine of the two small services. Cause: after 84 calls from these few machines their absence
- * counted as certain, as if each call came from a machine of its own.
+ * Guards against classifying requests of clients as nested at a gate with few callers, where by chance no machine of a
+ * small service may be among them.
  */
 describe('the origins of calls at one gate of many', () => {
   it('are not mistaken, though few machines call there', () => {
--- a/test/routing/target-choice.test.ts
+++ b/test/routing/target-choice.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-/** Names of the endpoints that are chosen, over many seeds. */
+/** Returns the names of the endpoints that are chosen with any of the seeds. */
 function chosen(endpoints: readonly Endpoint[]): string[] {
   const candidates = endpoints.map(candidate);
   const names = Array.from({ length: SEEDS }, (_, seed) => {
--- a/test/routing/unanswered-calls.test.ts
+++ b/test/routing/unanswered-calls.test.ts
@@ -1,7 +1,6 @@
 /**
- * Symptom: an endpoint whose target had turned slow went on to get its share of the calls. Sequence: none of its calls was
- * answered before its deadline; what the caller learned came from answers alone. Cause: a call that is given up tells how long
- * the endpoint takes at least, and was not counted.
+ * Guards against sending a full share of the calls to a slow endpoint none of whose calls is answered before its deadline:
+ * a cancelled call gives a lower bound of the latency, which must count.
  */
 import { expect } from 'chai';
 import { SeededRandom } from '../../src/common/random.js';
@@ -19,7 +18,7 @@
   return { id, incarnation: 1, service: 'ledger', zone: 'near', origin: id, state: 'ready' };
 }
 
-/** Sends calls to two endpoints, of which `first` ends its calls so. @returns the part of the calls that it got */
+/** Sends calls to two endpoints, of which `first` ends its calls as given. @returns the fraction that `first` got */
 function partOfFirst(ms: number, result: EndpointResult, refusal?: RefusalReason): number {
   const clock = new VirtualClock();
   const balancer = new Balancer({
