--- a/src/routing/origin-tracker.ts
+++ b/src/routing/origin-tracker.ts
@@ -59,11 +59,11 @@
 
   /**
    * @param machines number of machines of each service
-   * @param callingPart fraction of all machines that send calls to this gate, 0 to 1. Default: 1
+   * @param callerFraction fraction of all machines that send calls to this gate, 0 to 1. Default: 1
    */
   constructor(
     private readonly machines: () => ReadonlyMap<string, number>,
-    private readonly callingPart: () => number = () => 1,
+    private readonly callerFraction: () => number = () => 1,
   ) {}
 
   /** Records a call on `route` that originated on a machine of `service`. */
@@ -76,7 +76,7 @@
     const isNew = origins.total < CALLS_PER_EVALUATION;
     if (!isNew && origins.callsUntilEvaluation > 0) return;
     origins.callsUntilEvaluation = CALLS_PER_EVALUATION;
-    origins.callerType = classifyCaller(origins, this.machines(), this.callingPart());
+    origins.callerType = classifyCaller(origins, this.machines(), this.callerFraction());
   }
 
   /** Whether targets make the calls of `route`; false until there are enough calls to decide. */
@@ -107,7 +107,7 @@
 function classifyCaller(
   origins: RouteOrigins,
   machines: ReadonlyMap<string, number>,
-  callingPart: number,
+  callerFraction: number,
 ): CallerType {
   const services = new Set([...machines.keys(), ...origins.byService.keys()]);
   if (services.size < MIN_SERVICES) return CallerType.Unknown;
@@ -124,7 +124,7 @@
   if (present > services.size * MAX_ORIGIN_FRACTION) return CallerType.Unknown;
   const expectedCalls = (origins.total * absentMachines) / allMachines;
   // If all machines call this gate, the calls are independent and need no minimum number of callers.
-  const expectedCallers = callingPart < 1 ? absentMachines * callingPart : Infinity;
+  const expectedCallers = callerFraction < 1 ? absentMachines * callerFraction : Infinity;
   if (expectedCalls >= MIN_EXPECTED_CALLS && expectedCallers >= MIN_EXPECTED_CALLERS) {
     return CallerType.Targets;
   }
