--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -1,37 +1,34 @@
 /**
- * One endpoint as this caller sees it: its own calls in flight, how slow it is, the load that its gate reported, failures.
- * Owns what is learned of one endpoint. Relies on the balancer for the order of events and for the usual latencies.
+ * State of one endpoint as seen by this caller: its own calls in flight, the latency, the load that the gate reported, and
+ * failures. Computes the cost by which endpoints are compared.
  */
 import type { LoadReport } from '../call/outcome.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
 import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import { OutlierDetector } from './outlier-detector.js';
-import type { Candidate, ChoiceScale } from './target-choice.js';
+import type { Candidate, CostContext } from './target-choice.js';
 
-/** Weight of one answer in the latency ratio: about the last five count. */
+/** Smoothing factor of the latency ratio, an exponential moving average over about five answers. */
 const LATENCY_RATIO_WEIGHT = 0.2;
 
-/** A larger multiple counts as this one: a single answer is not to keep an endpoint out for long. */
+/** Cap for a single sample of the latency ratio, so that one slow answer doesn't keep calls away for long. */
 const MAX_LATENCY_RATIO = 20;
 
 /**
- * Without answers, an endpoint that was slow is taken for usual again with this time constant, in milliseconds: it gets few
- * calls, and one that has recovered is to get more.
+ * Time constant with which the latency ratio decays to 1 between answers, in milliseconds. A slow endpoint gets few calls;
+ * without the decay, its recovery would not be noticed.
  */
-const LATENCY_RATIO_FADE_MS = 3_000;
+const LATENCY_RATIO_DECAY_MS = 3_000;
 
-/**
- * Time constant with which a reported load fades, in milliseconds: reports are old where calls are few. 300 and 10,000 do as
- * well, within the spread of the seeds (docs/design/routing.md).
- */
-const LOAD_FADE_MS = 1_000;
+/** Time constant with which a reported load decays, in milliseconds. Reports become outdated when calls are rare. */
+const LOAD_DECAY_MS = 1_000;
 
-/** Part of its full load that an endpoint gets right after it appears: enough for it to warm up by. */
-const COLD_PART = 0.1;
+/** Weight at the beginning of the slow start, as a fraction of the full weight: a few calls are needed to warm up. */
+const MIN_SLOW_START_WEIGHT = 0.1;
 
 export class EndpointView implements Candidate {
   private inFlight = 0;
-  /** Latency as a multiple of what is usual for the same traffic classes, as of `latencyRatioAt`. */
+  /** Latency as a multiple of the baseline of the same traffic classes, as of `latencyRatioAt`. */
   private latestLatencyRatio = 1;
   /** Monotonic milliseconds. */
   private latencyRatioAt = 0;
@@ -39,21 +36,21 @@
   /** Monotonic milliseconds. */
   private loadAt = 0;
   private readonly outliers = new OutlierDetector();
-  /** When it began to take up load, in monotonic milliseconds. */
-  private warmFrom: number;
+  /** Start of the slow start, in monotonic milliseconds; -Infinity if there is none. */
+  private slowStartFrom: number;
 
-  /** @param appearedAt when the endpoint was first seen; -Infinity for one that is already warm */
+  /** @param appearedAt when the endpoint was first seen, in monotonic milliseconds; -Infinity if it is already warm */
   constructor(
     public record: EndpointRecord,
     appearedAt: number,
   ) {
-    this.warmFrom = appearedAt;
+    this.slowStartFrom = appearedAt;
   }
 
-  /** Adopts a newer announcement. A new incarnation starts cold. */
+  /** Replaces the record. A new incarnation begins with a slow start and without reported load. */
   update(record: EndpointRecord, now: number): void {
     if (record.incarnation !== this.record.incarnation) {
-      this.warmFrom = now;
+      this.slowStartFrom = now;
       this.load = undefined;
       this.latestLatencyRatio = 1;
     }
@@ -64,7 +61,7 @@
     return this.record.zone;
   }
 
-  /** Whether the gate would let a repeat through, as it said last; true where it has said nothing. */
+  /** Whether the gate accepts repeated calls according to its last report; true without a report. */
   get acceptsRepeats(): boolean {
     return this.load?.repeatRoom !== RepeatRoom.None;
   }
@@ -77,14 +74,14 @@
     this.inFlight += 1;
   }
 
-  /** Ends what {@link onStart} began. */
+  /** Must be called once for each {@link onStart}. */
   onEnd(result: EndpointResult, now: number): void {
     this.inFlight -= 1;
     if (result === 'failed') this.outliers.onFailure(now);
     if (result === 'answered') this.outliers.onSuccess(now);
   }
 
-  /** An answer of the target took this multiple of the usual latency. */
+  /** Records a latency as a multiple of the baseline. */
   onLatency(ratio: number, now: number): void {
     const before = this.latencyRatio(now);
     const sample = Math.min(ratio, MAX_LATENCY_RATIO);
@@ -92,36 +89,39 @@
     this.latencyRatioAt = now;
   }
 
-  /** Records the load that the node reported with an answer. */
+  /** Records the load that the gate reported with an answer. */
   onLoad(load: LoadReport, now: number): void {
     this.load = load;
     this.loadAt = now;
   }
 
-  /** What is in flight relative to the gate's limit, times the latency ratio, divided by how warm it is. Lower is better. */
-  cost(scale: ChoiceScale): number {
-    return (this.occupancy(scale) * this.latencyRatio(scale.now)) / this.warmth(scale);
+  /** Occupancy times latency ratio, divided by the weight of the slow start. Lower is better. */
+  cost(context: CostContext): number {
+    return (this.occupancy(context) * this.latencyRatio(context.now)) / this.warmupWeight(context);
   }
 
   latencyRatio(now: number): number {
-    const kept = Math.exp((this.latencyRatioAt - now) / LATENCY_RATIO_FADE_MS);
+    const kept = Math.exp((this.latencyRatioAt - now) / LATENCY_RATIO_DECAY_MS);
     return 1 + (this.latestLatencyRatio - 1) * kept;
   }
 
-  /** A gate that has reported no limit has the mean one: taken for full, one that came back got no calls to report with. */
-  occupancy({ now, meanLimit }: ChoiceScale): number {
+  /**
+   * Uses the mean limit until the gate has reported its own: if a restarted endpoint counted as full, it would get no calls
+   * to report a limit with.
+   */
+  occupancy({ now, meanLimit }: CostContext): number {
     const limit = this.load?.limit ?? meanLimit;
     const reported = this.load === undefined ? 0 : this.reportedInFlight(now, this.load);
     return (Math.max(this.inFlight, reported) + 1) / Math.max(1, limit);
   }
 
   private reportedInFlight(now: number, load: LoadReport): number {
-    return load.inFlight * Math.exp(-(now - this.loadAt) / LOAD_FADE_MS);
+    return load.inFlight * Math.exp(-(now - this.loadAt) / LOAD_DECAY_MS);
   }
 
-  private warmth({ now, slowStartMs }: ChoiceScale): number {
+  private warmupWeight({ now, slowStartMs }: CostContext): number {
     if (slowStartMs === 0) return 1;
-    const progress = (now - this.warmFrom) / slowStartMs;
-    return Math.min(1, Math.max(COLD_PART, progress));
+    const progress = (now - this.slowStartFrom) / slowStartMs;
+    return Math.min(1, Math.max(MIN_SLOW_START_WEIGHT, progress));
   }
 }
--- a/src/routing/target-choice.ts
+++ b/src/routing/target-choice.ts
@@ -1,63 +1,43 @@
 /**
- * The rule that chooses the target of an attempt. In order:
+ * Chooses the target of an attempt. The candidates are the endpoints of the caller's subset (subset.ts), except those that
+ * the call has already tried and those that are shutting down.
  *
- * 1. Only endpoints of the caller's subset are known (subset.ts), and of those the balancer passes in the ones that the
- *    call has not tried and that have not said that they leave.
- * 2. Ejected endpoints are passed over, unless that is more than half of them.
- * 3. The better of two random endpoints of the caller's zone, if it has room and is not slow.
- * 4. Else the best of three random endpoints of all zones, if the one of the zone costs more than twice as much.
- * 5. Else the one of the zone.
- *
- * Pure: what is known of the endpoints and the random source are passed in. Relies on gates that report their load with
- * each answer; what is not known yet is taken for usual.
+ * 1. Ejected endpoints are skipped, as long as at least half of the candidates remain.
+ * 2. The cheaper of two random endpoints in the caller's zone is used if it is neither full nor slow.
+ * 3. Otherwise, the cheapest of three random endpoints in all zones is used if the local one costs more than twice as much,
+ *    or if there is no local one.
+ * 4. Otherwise, the local endpoint is used.
  */
 import type { RandomSource } from '../common/random.js';
 
-/**
- * Largest part of the candidates that is passed over as ejected: where most fail, the rest would have all of the load.
- */
-const MAX_EJECTED_PART = 0.5;
+/** Largest fraction of the candidates that is skipped: if most of them fail, the others can't take all of the load. */
+const MAX_EJECTED_FRACTION = 0.5;
 
-/**
- * Occupancy from which an endpoint of the zone has no room. Lower, calls cross zones while there is room here; without it
- * queues form here while others stand empty: 0.75 to 0.77 of the requests in time in place of 0.89 to 0.93. 0.5 and 0.9 do as
- * well as 0.75, within the spread of the seeds (docs/design/routing.md, fan-in graph at 1.8 times the usual demand).
- */
+/** Occupancy from which a local endpoint counts as full. Below 1, so that calls leave the zone before a queue forms. */
 const FULL_OCCUPANCY = 0.75;
 
-/**
- * Latency ratio from which an endpoint of the zone is slow: without such a bound calls stayed at targets 12 times slower
- * than usual, since those had room.: no target is so slow in the simulated overloads.
- */
+/** Latency ratio from which a local endpoint counts as slow: a slow target may still have a low occupancy. */
 const SLOW_LATENCY_RATIO = 1.6;
 
 /**
- * A call leaves the zone only if the endpoint there costs more than this many times as much: where all zones are full
- * alike, crossing costs traffic between zones and brings nothing. Simulated sidecars, fan-in graph at 1.4, 1.8 and 2.4
- * times the usual demand, seed 1: with 2, parts of 0.166, 0.146 and 0.106 of the attempts cross, for worth of 1.000, 0.960
- * and 0.771; without the condition 0.308, 0.353 and 0.370, for 1.000, 0.965 and 0.765; with 3 the worth at 2.4 is 0.757.
+ * A call leaves the zone only if the local endpoint costs more than this many times as much as the other one. Prevents
+ * useless traffic between zones when all of them are equally loaded.
  */
-const CROSSING_COST_RATIO = 2;
+const CROSS_ZONE_COST_RATIO = 2;
 
-/**
- * Random endpoints compared in the zone. With one, 0.25 of the attempts cross zones in place of 0.20 (docs/design/routing.md,
- * deep search graph).
- */
-const LOCAL_CHOICES = 2;
+/** Number of random endpoints compared within the zone. */
+const LOCAL_SAMPLE_SIZE = 2;
 
-/**
- * Random endpoints compared over all zones, of which some may be full or slow. 2 and 8 do as well, within the spread of the
- * seeds (docs/design/routing.md).
- */
-const SPILL_CHOICES = 3;
+/** Number of random endpoints compared over all zones. */
+const ALL_ZONES_SAMPLE_SIZE = 3;
 
-/** What the values of all endpoints are reckoned with at one moment. */
-export interface ChoiceScale {
+/** Inputs of the cost that are the same for all candidates. */
+export interface CostContext {
   /** Monotonic milliseconds. */
   readonly now: number;
-  /** Time over which a new endpoint takes up its load, in milliseconds; 0: at once. */
+  /** Duration of the slow start of a new endpoint, in milliseconds; 0 disables it. */
   readonly slowStartMs: number;
-  /** Mean limit of the gates that have reported, in calls; for gates that have not. */
+  /** Mean of the limits that gates reported, in calls. Used for gates that have not reported one. */
   readonly meanLimit: number;
 }
 
@@ -65,61 +45,61 @@
 export interface Candidate {
   readonly zone: string;
   isEjected(now: number): boolean;
-  /** Calls at its gate with one more, relative to its limit: 1 is full. */
-  occupancy(scale: ChoiceScale): number;
-  /** Latency as a multiple of what is usual: 1 for an endpoint like the others. */
+  /** Calls at the endpoint's gate, including the next one, divided by the gate's limit. */
+  occupancy(context: CostContext): number;
+  /** Latency as a multiple of the baseline over all endpoints. */
   latencyRatio(now: number): number;
-  /** Expected cost of one more call; only comparisons mean anything. */
-  cost(scale: ChoiceScale): number;
+  /** Relative cost of one more call; lower is better. */
+  cost(context: CostContext): number;
 }
 
-/** What a choice is made from. */
 export interface ChoiceOptions {
   readonly callerZone: string;
-  readonly scale: ChoiceScale;
+  readonly context: CostContext;
   readonly random: RandomSource;
 }
 
-/** @returns undefined if there is no candidate */
+/** Returns the chosen candidate; undefined if there are no candidates. */
 export function chooseTarget<T extends Candidate>(
   candidates: readonly T[],
-  { callerZone, scale, random }: ChoiceOptions,
+  { callerZone, context, random }: ChoiceOptions,
 ): T | undefined {
-  const usable = withoutEjected(candidates, scale.now);
+  const usable = selectUsable(candidates, context.now);
   const local = usable.filter(({ zone }) => zone === callerZone);
-  const nearby = cheapestOf(LOCAL_CHOICES, local, scale, random);
-  if (nearby !== undefined && hasRoom(nearby, scale) && !isSlow(nearby, scale)) return nearby;
-  const best = cheapestOf(SPILL_CHOICES, usable, scale, random);
-  if (nearby === undefined || best === undefined) return best;
-  const isWorthCrossing = nearby.cost(scale) > CROSSING_COST_RATIO * best.cost(scale);
-  return isWorthCrossing ? best : nearby;
+  const bestLocal = cheapestOf(LOCAL_SAMPLE_SIZE, local, context, random);
+  if (bestLocal !== undefined && hasRoom(bestLocal, context) && !isSlow(bestLocal, context))
+    return bestLocal;
+  const best = cheapestOf(ALL_ZONES_SAMPLE_SIZE, usable, context, random);
+  if (bestLocal === undefined || best === undefined) return best;
+  const isWorthCrossing = bestLocal.cost(context) > CROSS_ZONE_COST_RATIO * best.cost(context);
+  return isWorthCrossing ? best : bestLocal;
 }
 
-function withoutEjected<T extends Candidate>(candidates: readonly T[], now: number): T[] {
+function selectUsable<T extends Candidate>(candidates: readonly T[], now: number): T[] {
   const usable: T[] = [];
   const ejected: T[] = [];
   for (const candidate of candidates) {
     if (candidate.isEjected(now)) ejected.push(candidate);
     else usable.push(candidate);
   }
-  const least = Math.ceil(candidates.length * (1 - MAX_EJECTED_PART));
+  const least = Math.ceil(candidates.length * (1 - MAX_EJECTED_FRACTION));
   while (usable.length < least) usable.push(ejected.pop()!);
   return usable;
 }
 
-function hasRoom(candidate: Candidate, scale: ChoiceScale): boolean {
-  return candidate.occupancy(scale) < FULL_OCCUPANCY;
+function hasRoom(candidate: Candidate, context: CostContext): boolean {
+  return candidate.occupancy(context) < FULL_OCCUPANCY;
 }
 
-function isSlow(candidate: Candidate, { now }: ChoiceScale): boolean {
+function isSlow(candidate: Candidate, { now }: CostContext): boolean {
   return candidate.latencyRatio(now) >= SLOW_LATENCY_RATIO;
 }
 
-/** The cheapest of `count` different random candidates. */
+/** Returns the cheapest of `count` distinct random candidates. */
 function cheapestOf<T extends Candidate>(
   count: number,
   pool: readonly T[],
-  scale: ChoiceScale,
+  context: CostContext,
   random: RandomSource,
 ): T | undefined {
   const left = [...pool];
@@ -130,7 +110,7 @@
     const candidate = left[index]!;
     left[index] = left[left.length - 1]!;
     left.pop();
-    const cost = candidate.cost(scale);
+    const cost = candidate.cost(context);
     if (cost < leastCost) {
       cheapest = candidate;
       leastCost = cost;
