--- a/src/admission/adaptive-limiter.ts
+++ b/src/admission/adaptive-limiter.ts
@@ -11,7 +11,11 @@
 type ConcurrencySpec = ServiceSpec['concurrency'];
 
 /** `adaptive` probes for the slots of the target; docs/design/admission.md weighs it against other ways. */
-function build(spec: ConcurrencySpec, initial: number, random: RandomSource): ConcurrencyLimiter {
+function createLimiter(
+  spec: ConcurrencySpec,
+  initial: number,
+  random: RandomSource,
+): ConcurrencyLimiter {
   const bounds = { min: spec.min, max: spec.max, initial };
   return spec.algorithm === 'fixed' ? new FixedLimiter(bounds) : new ProbeLimiter(bounds, random);
 }
@@ -26,7 +30,7 @@
     private readonly random: RandomSource,
   ) {
     this.spec = spec;
-    this.current = build(spec, spec.initial, random);
+    this.current = createLimiter(spec, spec.initial, random);
   }
 
   get limit(): number {
@@ -45,9 +49,9 @@
     const isFirst = !this.isConfigured;
     this.isConfigured = true;
     if (JSON.stringify(spec) === JSON.stringify(this.spec)) return;
-    const startsOver = isFirst || spec.algorithm === 'fixed';
-    const initial = startsOver ? spec.initial : clampLimit(this.limit, spec);
+    const isReset = isFirst || spec.algorithm === 'fixed';
+    const initial = isReset ? spec.initial : clampLimit(this.limit, spec);
     this.spec = spec;
-    this.current = build(spec, initial, this.random);
+    this.current = createLimiter(spec, initial, this.random);
   }
 }
--- a/src/admission/admission-controller.ts
+++ b/src/admission/admission-controller.ts
@@ -8,11 +8,11 @@
 import type { RandomSource } from '../common/random.js';
 import type { Importance } from '../policy/importance.js';
 import type { ConcurrencyLimiter, SampleOutcome } from './concurrency-limiter.js';
-import { HeldTimes } from './held-times.js';
+import { TargetDurations } from './held-times.js';
 import { ShareClassUsage } from './share-class-usage.js';
 import type { SharingOrder } from './sharing-policy.js';
-import { OfferedPressure } from './offered-pressure.js';
-import { decideWait, queueCapacity, waitOverReason, type WaitRequest } from './queue-wait.js';
+import { DemandRatio } from './offered-pressure.js';
+import { decideWait, queueCapacity, waitTimeoutReason, type WaitRequest } from './queue-wait.js';
 import { WaitingCalls, type ShareClassState, type WaitingCall } from './waiting-calls.js';
 import { NO_RETRY_AFTER, notAdmittedSeconds } from '../call/retry-after.js';
 
@@ -105,7 +105,7 @@
 }
 
 /** A call when it entered the target. */
-interface EnteredCall {
+interface AdmittedCall {
   readonly kind: string;
   /** Monotonic milliseconds. */
   readonly startedAt: number;
@@ -114,7 +114,7 @@
 }
 
 /** Stands for a call that has already been answered. */
-const ANSWERED: PendingAdmission = {
+const ALREADY_DECIDED: PendingAdmission = {
   cancel: () => {
     // Nothing waits any more.
   },
@@ -124,8 +124,8 @@
 export class AdmissionController {
   private readonly waiting: WaitingCalls<QueuedCall>;
   private inFlight = 0;
-  private readonly heldTimes = new HeldTimes();
-  private readonly pressure = new OfferedPressure();
+  private readonly targetDurations = new TargetDurations();
+  private readonly demandRatio = new DemandRatio();
 
   constructor(private readonly options: AdmissionOptions) {
     this.waiting = new WaitingCalls<QueuedCall>(
@@ -147,14 +147,14 @@
   /** Asks for a call to be let in. */
   offer(request: AdmissionRequest, listener: AdmissionListener): PendingAdmission {
     const now = this.options.clock.now();
-    this.pressure.onOffered(now);
+    this.demandRatio.onOffered(now);
     if (request.deadlineAt <= now) {
       listener.onRefused('deadline', NO_RETRY_AFTER);
-      return ANSWERED;
+      return ALREADY_DECIDED;
     }
     if (this.waiting.size === 0 && this.inFlight < this.options.limiter.limit) {
       this.admit(request, listener);
-      return ANSWERED;
+      return ALREADY_DECIDED;
     }
     return this.enqueue(request, listener, now);
   }
@@ -167,7 +167,11 @@
 
   /** Refuses every waiting call: the target takes none any more. */
   refuseWaiting(): void {
-    for (let call = this.waiting.takeLast(); call !== undefined; call = this.waiting.takeLast()) {
+    for (
+      let call = this.waiting.takeLowestPriority();
+      call !== undefined;
+      call = this.waiting.takeLowestPriority()
+    ) {
       call.timer?.cancel();
       call.listener.onRefused('leaving', NO_RETRY_AFTER);
     }
@@ -179,12 +183,12 @@
       const call = this.waiting.takeNext();
       if (call === undefined) return;
       call.timer?.cancel();
-      this.admitUnlessLate(call);
+      this.admitUnlessExpired(call);
     }
   }
 
   /** A process that was frozen may find calls whose deadline passed meanwhile: they must not run. */
-  private admitUnlessLate(call: QueuedCall): void {
+  private admitUnlessExpired(call: QueuedCall): void {
     if (call.request.deadlineAt <= this.options.clock.now()) {
       call.listener.onRefused('deadline', NO_RETRY_AFTER);
       return;
@@ -200,12 +204,12 @@
     const decision = decideWait(this.waitRequest(request, now), this.options.queueWaitMs());
     if (decision.type === 'refused') {
       listener.onRefused(decision.reason, this.retryAfterSeconds());
-      return ANSWERED;
+      return ALREADY_DECIDED;
     }
     const call = new QueuedCall(this, request, listener);
     this.waiting.add(call);
-    call.timer = this.options.clock.schedule(decision.longestMs, () => this.giveUp(call));
-    if (this.waiting.size > this.queueCapacity()) this.refuseLast();
+    call.timer = this.options.clock.schedule(decision.maxWaitMs, () => this.onWaitTimeout(call));
+    if (this.waiting.size > this.queueCapacity()) this.refuseLowestPriority();
     return call;
   }
 
@@ -214,30 +218,30 @@
     return {
       importance,
       remainingMs: deadlineAt - now,
-      ownWaitMs: waitUntil === undefined ? undefined : waitUntil - now,
-      expectedHeldMs: this.expectedHeldMs(request),
+      requestedWaitMs: waitUntil === undefined ? undefined : waitUntil - now,
+      expectedDurationMs: this.expectedDurationMs(request),
     };
   }
 
   /** Time in the target that a call needs; a kind that was not answered yet is given the benefit. */
-  private expectedHeldMs({ kind }: AdmissionRequest): number {
-    return this.heldTimes.meanOf(kind) ?? 0;
+  private expectedDurationMs({ kind }: AdmissionRequest): number {
+    return this.targetDurations.meanOf(kind) ?? 0;
   }
 
   private queueCapacity(): number {
     const { limiter, queueWaitMs } = this.options;
-    return queueCapacity(limiter.limit, this.heldTimes.meanMs, queueWaitMs());
+    return queueCapacity(limiter.limit, this.targetDurations.meanMs, queueWaitMs());
   }
 
-  private giveUp(call: QueuedCall): void {
+  private onWaitTimeout(call: QueuedCall): void {
     if (!this.waiting.remove(call)) return;
     const remainingMs = call.request.deadlineAt - this.options.clock.now();
-    const reason = waitOverReason(remainingMs, this.expectedHeldMs(call.request));
+    const reason = waitTimeoutReason(remainingMs, this.expectedDurationMs(call.request));
     call.listener.onRefused(reason, this.retryAfterSeconds());
   }
 
-  private refuseLast(): void {
-    const victim = this.waiting.takeLast();
+  private refuseLowestPriority(): void {
+    const victim = this.waiting.takeLowestPriority();
     if (victim === undefined) return;
     victim.timer?.cancel();
     victim.listener.onRefused('overload', this.retryAfterSeconds());
@@ -246,10 +250,10 @@
   private admit(request: AdmissionRequest, listener: AdmissionListener): void {
     const startedAt = this.options.clock.now();
     this.inFlight += 1;
-    this.pressure.onAdmitted();
+    this.demandRatio.onAdmitted();
     const { usage } = this.waiting.shareClass(request.shareClass);
     usage.change(1, startedAt);
-    const entered: EnteredCall = { kind: request.kind, startedAt, inFlight: this.inFlight };
+    const admitted: AdmittedCall = { kind: request.kind, startedAt, inFlight: this.inFlight };
     let released = false;
     listener.onAdmitted({
       release: (outcome, nestedMs) => {
@@ -258,22 +262,22 @@
         const now = this.options.clock.now();
         this.inFlight -= 1;
         usage.change(-1, now);
-        this.learn(entered, now, outcome, nestedMs);
+        this.recordSample(admitted, now, outcome, nestedMs);
         this.dispatch();
       },
     });
   }
 
-  private learn(
-    { kind, startedAt, inFlight }: EnteredCall,
+  private recordSample(
+    { kind, startedAt, inFlight }: AdmittedCall,
     now: number,
     outcome: SampleOutcome,
     nestedMs: number,
   ): void {
-    const heldMs = now - startedAt;
-    if (outcome === 'answered') this.heldTimes.onAnswered(kind, heldMs);
-    const latencyMs = Math.max(0, heldMs - nestedMs);
-    const sample = { kind, latencyMs, heldMs, inFlight, startedAt, outcome };
+    const durationMs = now - startedAt;
+    if (outcome === 'answered') this.targetDurations.onAnswered(kind, durationMs);
+    const latencyMs = Math.max(0, durationMs - nestedMs);
+    const sample = { kind, latencyMs, durationMs, inFlight, startedAt, outcome };
     this.options.limiter.onSample(sample, now);
   }
 
@@ -287,6 +291,6 @@
 
   /** Seconds for `Retry-After`, by how much more is offered than let in. */
   private retryAfterSeconds(): number {
-    return notAdmittedSeconds(this.pressure.current(), this.options.random);
+    return notAdmittedSeconds(this.demandRatio.current(), this.options.random);
   }
 }
--- a/src/admission/concurrency-limiter.ts
+++ b/src/admission/concurrency-limiter.ts
@@ -19,7 +19,7 @@
   /** Time inside the target in milliseconds, without the time of calls it made itself. */
   readonly latencyMs: number;
   /** Time inside the target in milliseconds, all of it: how long the call held a slot. */
-  readonly heldMs: number;
+  readonly durationMs: number;
   /** Calls inside the target when this one entered, itself included. */
   readonly inFlight: number;
   /** Monotonic milliseconds at which the call entered the target. */
--- a/src/admission/congestion-level.ts
+++ b/src/admission/congestion-level.ts
@@ -7,17 +7,17 @@
 import type { Clock } from '../common/clock.js';
 
 /** Least weight of one call in the average: it follows some twenty calls. */
-const CALL_WEIGHT = 0.05;
+const MIN_CALL_WEIGHT = 0.05;
 /** Where calls are rare each stands for the time since the one before, against this, in milliseconds. */
-const AVERAGE_MS = 400;
+const AVERAGING_MS = 400;
 /** Without calls for this long, what was learned fades, in milliseconds. */
-const SILENCE_MS = 300;
+const DECAY_DELAY_MS = 300;
 /** Time constant of fading, in milliseconds: callers try again within a second or two. */
-const MEMORY_MS = 1_000;
+const DECAY_MS = 1_000;
 
 export class CongestionLevel {
   private level = 0;
-  private learnedAt = 0;
+  private updatedAt = 0;
 
   constructor(private readonly clock: Clock) {}
 
@@ -25,14 +25,14 @@
   onCall(congestion: number): void {
     const before = this.current();
     const now = this.clock.now();
-    const weight = Math.max(CALL_WEIGHT, 1 - Math.exp((this.learnedAt - now) / AVERAGE_MS));
-    this.learnedAt = now;
+    const weight = Math.max(MIN_CALL_WEIGHT, 1 - Math.exp((this.updatedAt - now) / AVERAGING_MS));
+    this.updatedAt = now;
     this.level = before + weight * (congestion - before);
   }
 
   /** The level now, from 0 to 1. */
   current(): number {
-    const silentMs = this.clock.now() - this.learnedAt - SILENCE_MS;
-    return silentMs <= 0 ? this.level : this.level * Math.exp(-silentMs / MEMORY_MS);
+    const decayingMs = this.clock.now() - this.updatedAt - DECAY_DELAY_MS;
+    return decayingMs <= 0 ? this.level : this.level * Math.exp(-decayingMs / DECAY_MS);
   }
 }
--- a/src/admission/held-times.ts
+++ b/src/admission/held-times.ts
@@ -9,7 +9,7 @@
 /** Kinds that are remembered; routes come and go with the configuration. Bounds memory. */
 const MAX_KINDS = 1_000;
 
-export class HeldTimes {
+export class TargetDurations {
   private readonly byKind = new BoundedMap<number>(MAX_KINDS);
   private overallMs: number | undefined;
 
@@ -24,12 +24,12 @@
   }
 
   /** A call of `kind` was answered after `heldMs` in the target. */
-  onAnswered(kind: string, heldMs: number): void {
-    this.overallMs = moved(this.overallMs, heldMs);
-    this.byKind.set(kind, moved(this.byKind.get(kind), heldMs));
+  onAnswered(kind: string, durationMs: number): void {
+    this.overallMs = updatedMean(this.overallMs, durationMs);
+    this.byKind.set(kind, updatedMean(this.byKind.get(kind), durationMs));
   }
 }
 
-function moved(mean: number | undefined, heldMs: number): number {
-  return mean === undefined ? heldMs : mean + WEIGHT * (heldMs - mean);
+function updatedMean(mean: number | undefined, sampleMs: number): number {
+  return mean === undefined ? sampleMs : mean + WEIGHT * (sampleMs - mean);
 }
--- a/src/admission/kind-impact.ts
+++ b/src/admission/kind-impact.ts
@@ -17,12 +17,12 @@
 /** Answers from which a kind is judged; fewer let one slow answer count as delay. */
 const MIN_ANSWERS = 15;
 /** Answers from which the usual time of a kind is told: a gate of many gets a few a second. */
-const MIN_ANSWERS_TO_TELL = 3;
+const MIN_ANSWERS_FOR_BASELINE = 3;
 /**
  * The usual time is the lowest recent mean; it doubles in this time, in milliseconds. Counted in time and
  * not in answers: a kind with hundreds of calls a second is to remember as long as one with few.
  */
-const USUAL_DOUBLES_MS = 30_000;
+const BASELINE_DOUBLING_MS = 30_000;
 /** A failed answer counts as at least this multiple of the usual time, any answer as no more than that. */
 const FAILED_RATIO = 2.5;
 const MAX_RATIO = 4;
@@ -31,25 +31,25 @@
  * delay, a higher one reports it late: a kind whose chain of calls takes four fifths of its objective is late from 1.25 on.
  * Time limits may lie at 1.5 times the usual time.
  */
-const LEAST_RATIO = 1.1;
-const FULL_RATIO = 1.5;
+const MIN_DELAYED_RATIO = 1.1;
+const FULLY_DELAYED_RATIO = 1.5;
 /** Kinds that are remembered; routes come and go with the configuration. Bounds memory. */
 const MAX_KINDS = 1_000;
 /** Part of the downstream calls up to which they count as not congested: chance waits. */
-const CALM_LEVEL = 0.05;
+const MAX_UNCONGESTED_LEVEL = 0.05;
 
 /** Whether calls downstream are congested so little that answers tell the usual time of their kinds. */
 export function isCalm(level: number): boolean {
-  return level <= CALM_LEVEL;
+  return level <= MAX_UNCONGESTED_LEVEL;
 }
 
 interface KindTimes {
   answers: number;
   /** Those while nothing downstream was congested. */
-  calmAnswers: number;
+  uncongestedAnswers: number;
   answeredAt: number;
   recentMs: number;
-  usualMs: number;
+  baselineMs: number;
 }
 
 export class KindImpact {
@@ -59,52 +59,57 @@
 
   /**
    * The target answered a call.
-   * @param heldMs time that the call was in the target, in milliseconds
-   * @param calm whether nothing downstream was congested; a process that starts under an overload is not to
+   * @param durationMs time that the call was in the target, in milliseconds
+   * @param uncongested whether nothing downstream was congested; a process that starts under an overload is not to
    *   take what it sees for usual
    */
-  onAnswer(kind: string, heldMs: number, status: number, calm = true): void {
-    const times = this.times(kind, heldMs);
-    const failedMs = status >= HttpStatus.InternalServerError ? FAILED_RATIO * times.usualMs : 0;
-    const sampleMs = Math.max(failedMs, Math.min(heldMs, MAX_RATIO * times.usualMs));
+  onAnswer(kind: string, durationMs: number, status: number, uncongested = true): void {
+    const times = this.times(kind, durationMs);
+    const failedMs = status >= HttpStatus.InternalServerError ? FAILED_RATIO * times.baselineMs : 0;
+    const sampleMs = Math.max(failedMs, Math.min(durationMs, MAX_RATIO * times.baselineMs));
     times.answers += 1;
     const weight = Math.max(WEIGHT, 1 / times.answers);
     times.recentMs += weight * (sampleMs - times.recentMs);
-    if (calm) times.calmAnswers += 1;
-    const knownMs = calm ? this.risenUsualMs(times) : times.usualMs;
-    times.usualMs =
-      times.calmAnswers < MIN_ANSWERS ? times.recentMs : Math.min(times.recentMs, knownMs);
+    if (uncongested) times.uncongestedAnswers += 1;
+    const boundMs = uncongested ? this.raisedBaselineMs(times) : times.baselineMs;
+    times.baselineMs =
+      times.uncongestedAnswers < MIN_ANSWERS ? times.recentMs : Math.min(times.recentMs, boundMs);
     times.answeredAt = this.clock.now();
   }
 
   /** How much congestion downstream of the target delays a kind, 0 to 1; 1 where that is not known. */
   of(kind: string): number {
     const times = this.kinds.get(kind);
-    if (times === undefined || times.calmAnswers < MIN_ANSWERS) return 1;
-    const ratio = times.recentMs / Math.max(1, times.usualMs);
-    return Math.min(1, Math.max(0, (ratio - LEAST_RATIO) / (FULL_RATIO - LEAST_RATIO)));
+    if (times === undefined || times.uncongestedAnswers < MIN_ANSWERS) return 1;
+    const ratio = times.recentMs / Math.max(1, times.baselineMs);
+    return Math.min(
+      1,
+      Math.max(0, (ratio - MIN_DELAYED_RATIO) / (FULLY_DELAYED_RATIO - MIN_DELAYED_RATIO)),
+    );
   }
 
   /** Time that a kind takes while nothing downstream is congested, in milliseconds, as far as is known. */
   usualMs(kind: string): number | undefined {
     const times = this.kinds.get(kind);
-    return times === undefined || times.answers < MIN_ANSWERS_TO_TELL ? undefined : times.usualMs;
+    return times === undefined || times.answers < MIN_ANSWERS_FOR_BASELINE
+      ? undefined
+      : times.baselineMs;
   }
 
-  private risenUsualMs({ usualMs, answeredAt }: KindTimes): number {
-    return usualMs * 2 ** ((this.clock.now() - answeredAt) / USUAL_DOUBLES_MS);
+  private raisedBaselineMs({ baselineMs, answeredAt }: KindTimes): number {
+    return baselineMs * 2 ** ((this.clock.now() - answeredAt) / BASELINE_DOUBLING_MS);
   }
 
-  private times(kind: string, heldMs: number): KindTimes {
+  private times(kind: string, durationMs: number): KindTimes {
     const existing = this.kinds.get(kind);
     if (existing !== undefined) return existing;
     const answeredAt = this.clock.now();
     const created = {
       answers: 0,
-      calmAnswers: 0,
+      uncongestedAnswers: 0,
       answeredAt,
-      recentMs: heldMs,
-      usualMs: heldMs,
+      recentMs: durationMs,
+      baselineMs: durationMs,
     };
     this.kinds.set(kind, created);
     return created;
--- a/src/admission/kind-limiter.ts
+++ b/src/admission/kind-limiter.ts
@@ -17,20 +17,20 @@
 import type { Clock } from '../common/clock.js';
 
 /** Least time over which the rate of answers is measured, in milliseconds: shorter is noisier, longer lags. */
-const MIN_RATE_MS = 500;
+const MIN_RATE_WINDOW_MS = 500;
 /** Least time constant with which the limit follows rate times wanted time, in milliseconds. */
-const MIN_APPROACH_MS = 200;
+const MIN_TIME_CONSTANT_MS = 200;
 /** Least time in which the limit doubles while nothing is congested, in milliseconds. */
-const MIN_DOUBLES_MS = 1_000;
+const MIN_DOUBLING_MS = 1_000;
 /**
  * The same three times for kinds that are held long, as multiples of the time in the target. What is let in shows in answers
  * after that time: limits that moved faster followed a few answers of chance, and rose and fell by half every few seconds.
  */
-const RATE_HELD_TIMES = 1;
-const APPROACH_HELD_TIMES = 0.25;
-const DOUBLES_HELD_TIMES = 3;
+const RATE_WINDOW_FACTOR = 1;
+const TIME_CONSTANT_FACTOR = 0.25;
+const DOUBLING_FACTOR = 3;
 /** Weight of one answer in the time in the target: about the last five count. */
-const HELD_WEIGHT = 0.2;
+const DURATION_WEIGHT = 0.2;
 /**
  * Limit of a kind of which nothing is known yet. Until calls are congested for the first time each answer raises
  * it by one, so that it doubles in the time of an answer: a process that starts while clients press lets in no
@@ -44,7 +44,7 @@
  * Part of a limit that is open to requests which can't be answered within their objective any more. Clients that were refused
  * come back while others come for the first time: all let in alike, half of what was answered was late.
  */
-const MISSED_OBJECTIVE_PART = 0.5;
+const MISSED_OBJECTIVE_FRACTION = 0.5;
 /** Requests of a kind that are let in however long they take: without any, nothing would be learned. */
 const MIN_LIMIT = 2;
 /**
@@ -53,9 +53,9 @@
  */
 const LONG_RUN_MS = 1_000;
 /** Part of the first limit that is in use where it proves too small. */
-const USED_PART = 0.5;
+const MIN_UTILIZATION = 0.5;
 /** A limit this many times above what is under way, while nothing is congested, is dropped. */
-const DROPPED_ABOVE = 4;
+const UNLIMITED_ABOVE = 4;
 /** Kinds that are remembered; routes come and go with the configuration. Bounds memory. */
 const MAX_KINDS = 1_000;
 
@@ -71,7 +71,7 @@
 }
 
 /** What decides besides the limit when a request asks to be let in. */
-interface EntryState {
+interface EntryConditions {
   /** So little congested that work goes on. */
   readonly isCalm: boolean;
   /** So congested that requests of this kind are limited. */
@@ -80,7 +80,11 @@
   readonly missesObjective: boolean;
 }
 
-const UNKNOWN: EntryState = { isCalm: false, isCongested: false, missesObjective: false };
+const DEFAULT_CONDITIONS: EntryConditions = {
+  isCalm: false,
+  isCongested: false,
+  missesObjective: false,
+};
 
 /** What the limit that was reached stems from. */
 export type KindLimitCause =
@@ -112,14 +116,14 @@
   /** Whether calls were never congested yet. */
   isStarting: boolean;
   /** Successful answers a millisecond. */
-  rate: number;
-  answeredAt: number;
+  answersPerMs: number;
+  lastAnswerAt: number;
   /** When the first request asked to be let in, and the last one. */
   readonly createdAt: number;
-  askedAt: number;
+  lastRequestAt: number;
   hasAnswered: boolean;
   /** Mean time in the target, in milliseconds; 0 before the first answer. */
-  heldMs: number;
+  meanDurationMs: number;
 }
 
 export class KindLimiter {
@@ -128,12 +132,12 @@
   constructor(private readonly clock: Clock) {}
 
   /** Counts a request as under way, unless its kind is at its limit. */
-  enter(kind: string, entry: EntryState = UNKNOWN): KindEntry {
+  enter(kind: string, entry: EntryConditions = DEFAULT_CONDITIONS): KindEntry {
     const state = this.state(kind);
     const now = this.clock.now();
     if (entry.isCalm) growWithoutAnswer(state, now);
-    state.askedAt = now;
-    const limit = entry.missesObjective ? MISSED_OBJECTIVE_PART * state.limit : state.limit;
+    state.lastRequestAt = now;
+    const limit = entry.missesObjective ? MISSED_OBJECTIVE_FRACTION * state.limit : state.limit;
     if (state.inFlight >= limit) return limitReached(state, limit, entry);
     state.inFlight += 1;
     return ENTERED;
@@ -149,13 +153,13 @@
   onAnswer(kind: string, answer: KindAnswer): void {
     const state = this.state(kind);
     const now = this.clock.now();
-    const elapsedMs = now - state.answeredAt;
-    state.answeredAt = now;
+    const elapsedMs = now - state.lastAnswerAt;
+    state.lastAnswerAt = now;
     state.hasAnswered = true;
-    state.heldMs += HELD_WEIGHT * (answer.heldMs - state.heldMs);
-    const rateMs = Math.max(MIN_RATE_MS, RATE_HELD_TIMES * state.heldMs);
-    state.rate *= Math.exp(-elapsedMs / rateMs);
-    if (answer.succeeded) state.rate += 1 / rateMs;
+    state.meanDurationMs += DURATION_WEIGHT * (answer.heldMs - state.meanDurationMs);
+    const rateWindowMs = Math.max(MIN_RATE_WINDOW_MS, RATE_WINDOW_FACTOR * state.meanDurationMs);
+    state.answersPerMs *= Math.exp(-elapsedMs / rateWindowMs);
+    if (answer.succeeded) state.answersPerMs += 1 / rateWindowMs;
     const stepMs = Math.min(elapsedMs, MAX_STEP_MS);
     if (answer.isCongested) tighten(state, answer.maxTargetMs, stepMs);
     else relax(state, stepMs);
@@ -169,23 +173,23 @@
   private state(kind: string): KindState {
     const existing = this.kinds.get(kind);
     if (existing !== undefined) return existing;
-    if (this.kinds.size >= MAX_KINDS) this.forgetIdle();
+    if (this.kinds.size >= MAX_KINDS) this.evictIdle();
     const created = {
       inFlight: 0,
       limit: INITIAL_LIMIT,
       isStarting: true,
-      rate: 0,
-      answeredAt: this.clock.now(),
+      answersPerMs: 0,
+      lastAnswerAt: this.clock.now(),
       createdAt: this.clock.now(),
-      askedAt: this.clock.now(),
+      lastRequestAt: this.clock.now(),
       hasAnswered: false,
-      heldMs: 0,
+      meanDurationMs: 0,
     };
     this.kinds.set(kind, created);
     return created;
   }
 
-  private forgetIdle(): void {
+  private evictIdle(): void {
     for (const [kind, { inFlight }] of this.kinds) {
       if (inFlight === 0) this.kinds.delete(kind);
     }
@@ -195,7 +199,7 @@
 function limitReached(
   state: KindState,
   limit: number,
-  { isCongested }: EntryState,
+  { isCongested }: EntryConditions,
 ): KindLimitReached {
   const limited = { type: 'limit-reached', limit, underWay: state.inFlight } as const;
   if (state.isStarting) return { ...limited, cause: 'first-limit' };
@@ -208,23 +212,28 @@
  */
 function growWithoutAnswer(state: KindState, now: number): void {
   if (state.hasAnswered || now - state.createdAt < LONG_RUN_MS) return;
-  if (state.inFlight < USED_PART * state.limit) return;
-  state.limit *= 2 ** (Math.min(now - state.askedAt, MAX_STEP_MS) / MIN_DOUBLES_MS);
+  if (state.inFlight < MIN_UTILIZATION * state.limit) return;
+  state.limit *= 2 ** (Math.min(now - state.lastRequestAt, MAX_STEP_MS) / MIN_DOUBLING_MS);
 }
 
 /** Calls downstream are congested: follows what can be answered in the wanted time. */
 function tighten(state: KindState, maxTargetMs: number, stepMs: number): void {
-  const answerable = state.rate * maxTargetMs;
+  const sustainable = state.answersPerMs * maxTargetMs;
   state.isStarting = false;
-  if (state.limit === Infinity) state.limit = Math.max(state.inFlight, answerable);
-  const approachMs = Math.max(MIN_APPROACH_MS, APPROACH_HELD_TIMES * state.heldMs);
-  const weight = 1 - Math.exp(-stepMs / approachMs);
-  state.limit = Math.max(MIN_LIMIT, state.limit + weight * (answerable - state.limit));
+  if (state.limit === Infinity) state.limit = Math.max(state.inFlight, sustainable);
+  const timeConstantMs = Math.max(
+    MIN_TIME_CONSTANT_MS,
+    TIME_CONSTANT_FACTOR * state.meanDurationMs,
+  );
+  const weight = 1 - Math.exp(-stepMs / timeConstantMs);
+  state.limit = Math.max(MIN_LIMIT, state.limit + weight * (sustainable - state.limit));
 }
 
 /** Nothing is congested: more are let in, until the limit means nothing. */
 function relax(state: KindState, stepMs: number): void {
   if (state.isStarting) state.limit += 1;
-  else state.limit *= 2 ** (stepMs / Math.max(MIN_DOUBLES_MS, DOUBLES_HELD_TIMES * state.heldMs));
-  if (state.limit > DROPPED_ABOVE * Math.max(MIN_LIMIT, state.inFlight)) state.limit = Infinity;
+  else
+    state.limit *=
+      2 ** (stepMs / Math.max(MIN_DOUBLING_MS, DOUBLING_FACTOR * state.meanDurationMs));
+  if (state.limit > UNLIMITED_ABOVE * Math.max(MIN_LIMIT, state.inFlight)) state.limit = Infinity;
 }
--- a/src/admission/offered-pressure.ts
+++ b/src/admission/offered-pressure.ts
@@ -4,19 +4,19 @@
  */
 
 /** Time constant with which the counts fade, in milliseconds. */
-const MEMORY_MS = 1_000;
+const DECAY_MS = 1_000;
 
-export class OfferedPressure {
+export class DemandRatio {
   private offered = 0;
   private admitted = 0;
-  private fadedAt = 0;
+  private decayedAt = 0;
 
   /** A call asked to be let in. @param now monotonic milliseconds */
   onOffered(now: number): void {
-    const kept = Math.exp((this.fadedAt - now) / MEMORY_MS);
-    this.fadedAt = now;
-    this.offered = this.offered * kept + 1;
-    this.admitted *= kept;
+    const decayFactor = Math.exp((this.decayedAt - now) / DECAY_MS);
+    this.decayedAt = now;
+    this.offered = this.offered * decayFactor + 1;
+    this.admitted *= decayFactor;
   }
 
   /** A call was let in. */
--- a/src/admission/overload-throttle.ts
+++ b/src/admission/overload-throttle.ts
@@ -17,18 +17,18 @@
   /** False only in the lab, to show what the throttle is for. Default true. */
   readonly enabled?: boolean;
   /** Factor by which one refusal shrinks the fraction. Default 0.9. */
-  readonly shrink?: number;
+  readonly decreaseFactor?: number;
   /** Time without refusals in which the fraction doubles, in milliseconds. Default 250. */
   readonly doublingMs?: number;
   /** Refusals within this time after one that counted do not count, in milliseconds. Default 0. */
-  readonly settleMs?: number;
+  readonly cooldownMs?: number;
 }
 
 /**
  * Factor for each refusal, and time in which the fraction doubles, in milliseconds. With both, idle callees were filled
  * again within 0.6 s; counting accepted calls took 4.6 to 5.1 s (simulated; docs/design/admission.md).
  */
-const DEFAULT_SHRINK = 0.9;
+const DEFAULT_DECREASE_FACTOR = 0.9;
 const DEFAULT_DOUBLING_MS = 250;
 /** The fraction never falls below this, so that answers still tell when there is room again. */
 const MIN_FRACTION = 0.02;
@@ -60,11 +60,11 @@
 
   /** A call that was sent, or one made on its behalf, was refused for overload. */
   onRefused(trafficClass: string, now: number): void {
-    const { shrink = DEFAULT_SHRINK } = this.options;
+    const { decreaseFactor = DEFAULT_DECREASE_FACTOR } = this.options;
     const state = this.classes.get(trafficClass);
-    const { settleMs = 0 } = this.options;
-    if (state !== undefined && now - state.refusedAt < settleMs) return;
-    const fraction = Math.max(MIN_FRACTION, this.fractionAt(state, now) * shrink);
+    const { cooldownMs = 0 } = this.options;
+    if (state !== undefined && now - state.refusedAt < cooldownMs) return;
+    const fraction = Math.max(MIN_FRACTION, this.fractionAt(state, now) * decreaseFactor);
     if (state === undefined) this.classes.set(trafficClass, { fraction, refusedAt: now });
     else {
       state.fraction = fraction;
--- a/src/admission/probe-limiter.ts
+++ b/src/admission/probe-limiter.ts
@@ -54,25 +54,25 @@
 class PhaseLatency {
   count = 0;
   mean = 0;
-  private squares = 0;
+  private squaredDeviations = 0;
 
   add(value: number): void {
     this.count += 1;
     const delta = value - this.mean;
     this.mean += delta / this.count;
-    this.squares += delta * (value - this.mean);
+    this.squaredDeviations += delta * (value - this.mean);
   }
 
   /** Variance of the mean. */
   get meanVariance(): number {
-    return this.squares / Math.max(1, this.count - 1) / Math.max(1, this.count);
+    return this.squaredDeviations / Math.max(1, this.count - 1) / Math.max(1, this.count);
   }
 }
 
 type Phase = 'idle' | 'first-hold' | 'probe' | 'second-hold';
 
 export class ProbeLimiter implements ConcurrencyLimiter {
-  private value: number;
+  private fractionalLimit: number;
   private phase: Phase = 'idle';
   private phaseStartedAt = 0;
   private nextComparisonAt: number | undefined;
@@ -82,7 +82,7 @@
   private secondHold = new PhaseLatency();
   private readonly kindMeans = new Map<string, number>();
   private meanLatencyMs = 0;
-  private meanHeldMs = 0;
+  private meanDurationMs = 0;
   private dropped = false;
   private growthStep = 1;
 
@@ -90,7 +90,7 @@
     private readonly bounds: LimiterBounds,
     private readonly random: RandomSource,
   ) {
-    this.value = bounds.initial;
+    this.fractionalLimit = bounds.initial;
   }
 
   get limit(): number {
@@ -111,11 +111,12 @@
     }
     // The first full limit only starts the pause: a surge that has just begun tells little.
     if (isFull && this.nextComparisonAt === undefined) this.pause(MIN_PAUSE_MS, now);
-    if (this.nextComparisonAt !== undefined && now >= this.nextComparisonAt) this.begin(now);
+    if (this.nextComparisonAt !== undefined && now >= this.nextComparisonAt)
+      this.startComparison(now);
   }
 
   private holdLimit(): number {
-    return Math.floor(this.value);
+    return Math.floor(this.fractionalLimit);
   }
 
   private probeLimit(): number {
@@ -126,21 +127,21 @@
   private normalise(sample: LatencySample): number {
     const mean = this.kindMeans.get(sample.kind) ?? sample.latencyMs;
     this.kindMeans.set(sample.kind, mean + MEAN_WEIGHT * (sample.latencyMs - mean));
-    const weight = this.meanHeldMs === 0 ? 1 : MEAN_WEIGHT;
+    const weight = this.meanDurationMs === 0 ? 1 : MEAN_WEIGHT;
     this.meanLatencyMs += weight * (sample.latencyMs - this.meanLatencyMs);
-    this.meanHeldMs += weight * (sample.heldMs - this.meanHeldMs);
+    this.meanDurationMs += weight * (sample.durationMs - this.meanDurationMs);
     return sample.latencyMs / Math.max(mean, 0.01);
   }
 
-  private begin(now: number): void {
+  private startComparison(now: number): void {
     this.firstHold = new PhaseLatency();
     this.probe = new PhaseLatency();
     this.secondHold = new PhaseLatency();
     this.dropped = false;
-    this.enter('first-hold', now);
+    this.startPhase('first-hold', now);
   }
 
-  private enter(phase: Phase, now: number): void {
+  private startPhase(phase: Phase, now: number): void {
     this.phase = phase;
     this.phaseStartedAt = now;
   }
@@ -149,30 +150,30 @@
     switch (this.phase) {
       case 'first-hold':
         this.firstHold.add(latency);
-        if (this.firstHold.count >= SAMPLES_PER_PHASE) this.enter('probe', now);
+        if (this.firstHold.count >= SAMPLES_PER_PHASE) this.startPhase('probe', now);
         return;
       case 'probe':
         this.probe.add(latency);
-        if (this.probe.count >= SAMPLES_PER_PHASE) this.enter('second-hold', now);
+        if (this.probe.count >= SAMPLES_PER_PHASE) this.startPhase('second-hold', now);
         return;
       case 'second-hold':
         this.secondHold.add(latency);
-        if (this.secondHold.count >= SAMPLES_PER_PHASE) this.conclude(now);
+        if (this.secondHold.count >= SAMPLES_PER_PHASE) this.finishComparison(now);
         return;
       case 'idle':
     }
   }
 
-  private conclude(now: number): void {
-    this.enter('idle', now);
+  private finishComparison(now: number): void {
+    this.startPhase('idle', now);
     const drift = this.firstHold.mean / this.secondHold.mean;
     if (drift > DRIFT_RATIO || drift < 1 / DRIFT_RATIO) {
       this.pause(MIN_PAUSE_MS, now);
       return;
     }
-    const heldMean = (this.firstHold.mean + this.secondHold.mean) / 2;
-    const ratio = this.occupancyRatio(heldMean);
-    if (ratio > WAITING_RATIO && this.isSignificant(heldMean)) {
+    const holdMean = (this.firstHold.mean + this.secondHold.mean) / 2;
+    const ratio = this.occupancyRatio(holdMean);
+    if (ratio > WAITING_RATIO && this.isSignificant(holdMean)) {
       this.growthStep = 1;
       this.shrink(ratio);
       this.pause(0, now);
@@ -186,10 +187,10 @@
   }
 
   /** Calls inside the target for each that is being served, from the waiting that the probe saw. */
-  private occupancyRatio(heldMean: number): number {
-    const waitingMs = (heldMean - this.probe.mean) * this.meanLatencyMs;
-    const servedMs = Math.max(this.meanHeldMs - waitingMs, this.meanHeldMs / 2);
-    return this.meanHeldMs / servedMs;
+  private occupancyRatio(holdMean: number): number {
+    const waitingMs = (holdMean - this.probe.mean) * this.meanLatencyMs;
+    const servedMs = Math.max(this.meanDurationMs - waitingMs, this.meanDurationMs / 2);
+    return this.meanDurationMs / servedMs;
   }
 
   private pause(pauseMs: number, now: number): void {
@@ -199,26 +200,29 @@
   }
 
   /** Whether the difference between holds and probe is larger than chance explains. */
-  private isSignificant(heldMean: number): boolean {
-    const heldVariance = (this.firstHold.meanVariance + this.secondHold.meanVariance) / 4;
-    const standardError = Math.sqrt(heldVariance + this.probe.meanVariance);
-    return heldMean - this.probe.mean > SIGNIFICANCE * standardError;
+  private isSignificant(holdMean: number): boolean {
+    const holdVariance = (this.firstHold.meanVariance + this.secondHold.meanVariance) / 4;
+    const standardError = Math.sqrt(holdVariance + this.probe.meanVariance);
+    return holdMean - this.probe.mean > SIGNIFICANCE * standardError;
   }
 
   /** Waiting inside the target is proportional to the limit, so the ratio says how far to go. */
   private shrink(ratio: number): void {
-    const largest = this.holdLimit() / this.probeLimit();
-    this.value = clampLimit(this.value / Math.min(ratio, largest), this.bounds);
+    const maxRatio = this.holdLimit() / this.probeLimit();
+    this.fractionalLimit = clampLimit(
+      this.fractionalLimit / Math.min(ratio, maxRatio),
+      this.bounds,
+    );
   }
 
   private grow(): void {
-    this.value = clampLimit(this.value + this.growthStep, this.bounds);
+    this.fractionalLimit = clampLimit(this.fractionalLimit + this.growthStep, this.bounds);
     // Comparisons that find room in a row grow faster, up to half the limit at once.
-    this.growthStep = Math.max(1, Math.min(2 * this.growthStep, this.value / 2));
+    this.growthStep = Math.max(1, Math.min(2 * this.growthStep, this.fractionalLimit / 2));
   }
 
   private onDrop(): void {
     this.dropped = true;
-    this.value = clampLimit(this.value * DROP_FACTOR, this.bounds);
+    this.fractionalLimit = clampLimit(this.fractionalLimit * DROP_FACTOR, this.bounds);
   }
 }
--- a/src/admission/queue-wait.ts
+++ b/src/admission/queue-wait.ts
@@ -10,9 +10,9 @@
   /** Milliseconds left until its deadline. */
   readonly remainingMs: number;
   /** Longest wait that the call brought with it, in milliseconds; undefined where it brought none. */
-  readonly ownWaitMs: number | undefined;
+  readonly requestedWaitMs: number | undefined;
   /** Time that the call is expected to be in the target, in milliseconds. */
-  readonly expectedHeldMs: number;
+  readonly expectedDurationMs: number;
 }
 
 /** Why a call that may not wait is refused. */
@@ -24,7 +24,7 @@
 
 /** Whether a call may wait. */
 type WaitDecision =
-  | { readonly type: 'wait'; readonly longestMs: number }
+  | { readonly type: 'wait'; readonly maxWaitMs: number }
   | { readonly type: 'refused'; readonly reason: WaitRefusal };
 
 /**
@@ -37,8 +37,8 @@
 /** Calls that may wait however long calls take: a queue of none would refuse chance bursts. */
 const MIN_QUEUE_CAPACITY = 2;
 /** Stands for the time in the target before a first answer, and the least that is reckoned with, in milliseconds. */
-const UNKNOWN_HELD_MS = 1;
-const MIN_HELD_MS = 0.1;
+const DEFAULT_DURATION_MS = 1;
+const MIN_DURATION_MS = 0.1;
 
 /**
  * How long a call may wait: no longer than declared for its importance, and only while it can still finish before its
@@ -46,30 +46,30 @@
  * @param queueWaitMs the declared longest wait
  */
 export function decideWait(request: WaitRequest, queueWaitMs: number): WaitDecision {
-  const { importance, remainingMs, ownWaitMs, expectedHeldMs } = request;
-  const usableMs = remainingMs - expectedHeldMs;
-  const declaredMs = ownWaitMs ?? queueWaitMs * WAIT_FACTORS[importance]!;
-  const longestMs = Math.min(declaredMs, usableMs);
-  if (longestMs > 0) return { type: 'wait', longestMs };
+  const { importance, remainingMs, requestedWaitMs, expectedDurationMs } = request;
+  const slackMs = remainingMs - expectedDurationMs;
+  const declaredMs = requestedWaitMs ?? queueWaitMs * WAIT_FACTORS[importance]!;
+  const maxWaitMs = Math.min(declaredMs, slackMs);
+  if (maxWaitMs > 0) return { type: 'wait', maxWaitMs };
   return { type: 'refused', reason: remainingMs < queueWaitMs ? 'deadline' : 'overload' };
 }
 
 /** Why a call is refused whose wait is over. */
-export function waitOverReason(remainingMs: number, expectedHeldMs: number): WaitRefusal {
-  return remainingMs <= expectedHeldMs ? 'deadline' : 'overload';
+export function waitTimeoutReason(remainingMs: number, expectedDurationMs: number): WaitRefusal {
+  return remainingMs <= expectedDurationMs ? 'deadline' : 'overload';
 }
 
 /**
  * Calls that can be expected to enter within the longest wait.
  * @param limit calls that may be in the target at once
- * @param meanHeldMs mean time in the target, in milliseconds; undefined before a first answer
+ * @param meanDurationMs mean time in the target, in milliseconds; undefined before a first answer
  */
 export function queueCapacity(
   limit: number,
-  meanHeldMs: number | undefined,
+  meanDurationMs: number | undefined,
   queueWaitMs: number,
 ): number {
-  const heldMs = Math.max(meanHeldMs ?? UNKNOWN_HELD_MS, MIN_HELD_MS);
-  const perWait = (limit * (queueWaitMs * LONGEST_WAIT_FACTOR)) / heldMs;
-  return Math.max(MIN_QUEUE_CAPACITY, Math.ceil(perWait));
+  const durationMs = Math.max(meanDurationMs ?? DEFAULT_DURATION_MS, MIN_DURATION_MS);
+  const admittedPerWait = (limit * (queueWaitMs * LONGEST_WAIT_FACTOR)) / durationMs;
+  return Math.max(MIN_QUEUE_CAPACITY, Math.ceil(admittedPerWait));
 }
--- a/src/admission/run-outcomes.ts
+++ b/src/admission/run-outcomes.ts
@@ -11,17 +11,17 @@
 /** Weight of one run in what is known of its kind: about the last five count, so that it turns within so many. */
 const WEIGHT = 0.2;
 /** Part of the runs below which a kind counts as not answered: eight without any answer in a row. */
-const MIN_ANSWERED_PART = 0.2;
+const MIN_ANSWERED_RATIO = 0.2;
 /** Kinds that are remembered, a bound on memory; routes come and go with the configuration. */
 const MAX_KINDS = 1_000;
 
 /** The runs of one kind. */
 interface KindRuns {
   /** Part of the latest ones that were answered, 0 to 1. */
-  answeredPart: number;
+  answeredRatio: number;
   /** Mean time to the answer, in milliseconds; 0 before the first. */
-  answeredMs: number;
-  underWay: number;
+  meanAnswerMs: number;
+  inFlight: number;
 }
 
 /** How a run ended. */
@@ -42,38 +42,39 @@
    */
   mayBeAnswered(kind: string): boolean {
     const runs = this.kinds.get(kind);
-    return runs === undefined || runs.underWay === 0 || runs.answeredPart >= MIN_ANSWERED_PART;
+    return runs === undefined || runs.inFlight === 0 || runs.answeredRatio >= MIN_ANSWERED_RATIO;
   }
 
   /** A call is about to arrive at the target. */
   onBegin(kind: string): void {
-    this.runsOf(kind).underWay += 1;
+    this.runsOf(kind).inFlight += 1;
   }
 
-  /** A call that {@link onBegin} told of is over. @param ranMs time since then, in milliseconds */
-  onEnd(kind: string, result: RunResult, ranMs: number): void {
+  /** A call that {@link onBegin} told of is over. @param durationMs time since then, in milliseconds */
+  onEnd(kind: string, result: RunResult, durationMs: number): void {
     const runs = this.runsOf(kind);
-    runs.underWay = Math.max(0, runs.underWay - 1);
+    runs.inFlight = Math.max(0, runs.inFlight - 1);
     if (result === RunResult.Answered) {
-      runs.answeredMs = runs.answeredMs === 0 ? ranMs : moved(runs.answeredMs, ranMs);
-      runs.answeredPart = moved(runs.answeredPart, 1);
+      runs.meanAnswerMs =
+        runs.meanAnswerMs === 0 ? durationMs : updatedMean(runs.meanAnswerMs, durationMs);
+      runs.answeredRatio = updatedMean(runs.answeredRatio, 1);
     }
     // A run that was given up sooner than answers come might have been answered.
-    if (result === RunResult.GivenUp && ranMs > runs.answeredMs) {
-      runs.answeredPart = moved(runs.answeredPart, 0);
+    if (result === RunResult.GivenUp && durationMs > runs.meanAnswerMs) {
+      runs.answeredRatio = updatedMean(runs.answeredRatio, 0);
     }
   }
 
   private runsOf(kind: string): KindRuns {
     let runs = this.kinds.get(kind);
     if (runs === undefined) {
-      runs = { answeredPart: 1, answeredMs: 0, underWay: 0 };
+      runs = { answeredRatio: 1, meanAnswerMs: 0, inFlight: 0 };
       this.kinds.set(kind, runs);
     }
     return runs;
   }
 }
 
-function moved(mean: number, sample: number): number {
+function updatedMean(mean: number, sample: number): number {
   return mean + WEIGHT * (sample - mean);
 }
--- a/src/admission/share-class-usage.ts
+++ b/src/admission/share-class-usage.ts
@@ -6,12 +6,12 @@
 export class ShareClassUsage {
   private average = 0;
   private updatedAt = 0;
-  private current = 0;
+  private inFlight = 0;
 
   /** Records that `delta` calls entered (1) or left (-1) the target. */
   change(delta: number, now: number): void {
-    this.settle(now);
-    this.current += delta;
+    this.updateAverage(now);
+    this.inFlight += delta;
   }
 
   /**
@@ -20,15 +20,15 @@
    * every slot at once.
    */
   use(now: number): number {
-    this.settle(now);
-    return (this.average + this.current) / 2;
+    this.updateAverage(now);
+    return (this.average + this.inFlight) / 2;
   }
 
-  private settle(now: number): void {
+  private updateAverage(now: number): void {
     const elapsedMs = now - this.updatedAt;
     if (elapsedMs <= 0) return;
     this.average =
-      this.current + (this.average - this.current) * Math.exp(-elapsedMs / AVERAGING_MS);
+      this.inFlight + (this.average - this.inFlight) * Math.exp(-elapsedMs / AVERAGING_MS);
     this.updatedAt = now;
   }
 }
--- a/src/admission/waiting-calls.ts
+++ b/src/admission/waiting-calls.ts
@@ -30,18 +30,18 @@
 
   /** The calls that wait with this rank and importance. */
   calls({ groupRank, importance }: Pick<Call, 'groupRank' | 'importance'>): Call[] {
-    let ofRank = this.waiting.get(groupRank);
-    if (ofRank === undefined) {
-      ofRank = Array.from({ length: IMPORTANCE_COUNT }, () => []);
-      this.waiting.set(groupRank, ofRank);
+    let byImportance = this.waiting.get(groupRank);
+    if (byImportance === undefined) {
+      byImportance = Array.from({ length: IMPORTANCE_COUNT }, () => []);
+      this.waiting.set(groupRank, byImportance);
     }
-    return ofRank[importance]!;
+    return byImportance[importance]!;
   }
 
   /** Ranks and importances with at least one call that waits. */
   *queues(): Iterable<{ groupRank: number; importance: Importance; calls: Call[] }> {
-    for (const [groupRank, ofRank] of this.waiting) {
-      for (const [importance, calls] of ofRank.entries()) {
+    for (const [groupRank, byImportance] of this.waiting) {
+      for (const [importance, calls] of byImportance.entries()) {
         if (calls.length > 0) yield { groupRank, importance: importance as Importance, calls };
       }
     }
@@ -117,7 +117,7 @@
   }
 
   /** Takes out the call that is to be refused first: the newest of the last queue. */
-  takeLast(): Call | undefined {
+  takeLowestPriority(): Call | undefined {
     let worst: Queue<Call> | undefined;
     for (const queue of this.queues(true)) {
       if (worst === undefined || this.order(queue, worst) > 0) worst = queue;
--- a/test/admission/early-refusal.test.ts
+++ b/test/admission/early-refusal.test.ts
@@ -38,26 +38,26 @@
 
 describe('the impact of congestion on kinds of call', () => {
   /** Answers of a kind whose times spread by half around their mean. */
-  function answer(impact: KindImpact, kind: string, meanMs: number, status = 200): void {
+  function recordAnswers(impact: KindImpact, kind: string, meanMs: number, status = 200): void {
     const random = new SeededRandom(5);
     for (let count = 0; count < 200; count += 1) {
       impact.onAnswer(kind, meanMs * (0.5 + random.next()), status);
     }
   }
 
-  function learned(): KindImpact {
+  function warmedUpImpact(): KindImpact {
     const impact = new KindImpact(new VirtualClock());
-    for (const kind of ['calling', 'plain']) answer(impact, kind, 100);
+    for (const kind of ['calling', 'plain']) recordAnswers(impact, kind, 100);
     return impact;
   }
 
   it('is full for a kind that takes longer, or fails, and none for one that does not', () => {
-    const slowed = learned();
-    const failing = learned();
-    answer(slowed, 'calling', 250);
-    answer(failing, 'calling', 20, 500);
+    const slowed = warmedUpImpact();
+    const failing = warmedUpImpact();
+    recordAnswers(slowed, 'calling', 250);
+    recordAnswers(failing, 'calling', 20, 500);
     for (const impact of [slowed, failing]) {
-      answer(impact, 'plain', 102);
+      recordAnswers(impact, 'plain', 102);
       expect(impact.of('calling')).to.equal(1);
       expect(impact.of('plain')).to.equal(0);
     }
@@ -65,7 +65,7 @@
 
   it('is told also where all was congested from the start', () => {
     const impact = new KindImpact(new VirtualClock());
-    answer(impact, 'plain', 100);
+    recordAnswers(impact, 'plain', 100);
     for (let meanMs = 100; meanMs <= 400; meanMs += 50) {
       for (let count = 0; count < 10; count += 1) impact.onAnswer('calling', meanMs, 200);
     }
@@ -83,8 +83,11 @@
 
 describe('the throttle', () => {
   it('counts refusals that come together once', () => {
-    const many = new OverloadThrottle(new SeededRandom(1), { shrink: 0.8, settleMs: 200 });
-    const one = new OverloadThrottle(new SeededRandom(1), { shrink: 0.8, settleMs: 200 });
+    const many = new OverloadThrottle(new SeededRandom(1), {
+      decreaseFactor: 0.8,
+      cooldownMs: 200,
+    });
+    const one = new OverloadThrottle(new SeededRandom(1), { decreaseFactor: 0.8, cooldownMs: 200 });
     for (let refusal = 0; refusal < 50; refusal += 1) many.onRefused('lane', 1_000 + refusal);
     one.onRefused('lane', 1_000);
     expect(many.pressure('lane', 1_100)).to.equal(one.pressure('lane', 1_100));
--- a/test/admission/kind-limiter.test.ts
+++ b/test/admission/kind-limiter.test.ts
@@ -11,9 +11,14 @@
    * A service below that answers `perSecond` requests, however many wait for it, and `demand` requests a
    * second that ask to be let in. @returns the times of the answers of the last second
    */
-  function overload(perSecond: number, demand: number, limiter: KindLimiter, clock: VirtualClock) {
+  function simulateOverload(
+    perSecond: number,
+    demand: number,
+    limiter: KindLimiter,
+    clock: VirtualClock,
+  ) {
     const beganAt: number[] = [];
-    const heldMs: number[] = [];
+    const durationsMs: number[] = [];
     let refused = 0;
     const stepMs = 1;
     let arrivals = 0;
@@ -32,23 +37,26 @@
         const answer = { maxTargetMs: MAX_TARGET_MS, succeeded: true, heldMs: held, isCongested };
         limiter.onAnswer(KIND, answer);
         limiter.leave(KIND);
-        if (ms > 5_000) heldMs.push(held);
+        if (ms > 5_000) durationsMs.push(held);
       }
     }
-    return { refused, meanMs: heldMs.reduce((sum, each) => sum + each, 0) / heldMs.length };
+    return {
+      refused,
+      meanMs: durationsMs.reduce((sum, each) => sum + each, 0) / durationsMs.length,
+    };
   }
 
   it('keeps the time in the target near what is wanted, whatever the rate', () => {
     for (const perSecond of [10, 50, 300]) {
       const clock = new VirtualClock();
-      const { meanMs } = overload(perSecond, 3 * perSecond, new KindLimiter(clock), clock);
+      const { meanMs } = simulateOverload(perSecond, 3 * perSecond, new KindLimiter(clock), clock);
       expect(meanMs).to.be.within(MAX_TARGET_MS / 3, 1.3 * MAX_TARGET_MS);
     }
   });
 
   it('refuses nobody where all can be answered', () => {
     const clock = new VirtualClock();
-    expect(overload(100, 50, new KindLimiter(clock), clock).refused).to.equal(0);
+    expect(simulateOverload(100, 50, new KindLimiter(clock), clock).refused).to.equal(0);
   });
 
   it('lets in few of a kind of which nothing is known, and soon all', () => {
@@ -59,8 +67,13 @@
     expect(entered).to.be.within(2, 10);
     for (let answer = 0; answer < 100; answer += 1) {
       clock.advance(20);
-      const calm = { maxTargetMs: MAX_TARGET_MS, succeeded: true, heldMs: 20, isCongested: false };
-      limiter.onAnswer(KIND, calm);
+      const uncongested = {
+        maxTargetMs: MAX_TARGET_MS,
+        succeeded: true,
+        heldMs: 20,
+        isCongested: false,
+      };
+      limiter.onAnswer(KIND, uncongested);
       limiter.leave(KIND);
       limiter.enter(KIND);
     }
@@ -70,12 +83,17 @@
   it('is gone soon after the calls below are held up no more', () => {
     const clock = new VirtualClock();
     const limiter = new KindLimiter(clock);
-    overload(50, 150, limiter, clock);
+    simulateOverload(50, 150, limiter, clock);
     expect(limiter.limitOf(KIND)).to.be.below(100);
     for (let answer = 0; answer < 200; answer += 1) {
       clock.advance(20);
-      const calm = { maxTargetMs: MAX_TARGET_MS, succeeded: true, heldMs: 20, isCongested: false };
-      limiter.onAnswer(KIND, calm);
+      const uncongested = {
+        maxTargetMs: MAX_TARGET_MS,
+        succeeded: true,
+        heldMs: 20,
+        isCongested: false,
+      };
+      limiter.onAnswer(KIND, uncongested);
     }
     expect(limiter.limitOf(KIND)).to.equal(Infinity);
   });
--- a/test/admission/run-outcomes.test.ts
+++ b/test/admission/run-outcomes.test.ts
@@ -6,7 +6,7 @@
 const DEADLINE_MS = 700;
 
 /** Ends calls that have just begun. */
-function end(outcomes: RunOutcomes, count: number, result: RunResult, ranMs: number): void {
+function runCalls(outcomes: RunOutcomes, count: number, result: RunResult, ranMs: number): void {
   for (let call = 0; call < count; call += 1) {
     outcomes.onBegin(KIND);
     outcomes.onEnd(KIND, result, ranMs);
@@ -14,9 +14,9 @@
 }
 
 /** A target that has answered, with a call under way. */
-function wellTarget(): RunOutcomes {
+function healthyTarget(): RunOutcomes {
   const outcomes = new RunOutcomes();
-  end(outcomes, 10, RunResult.Answered, USUAL_MS);
+  runCalls(outcomes, 10, RunResult.Answered, USUAL_MS);
   outcomes.onBegin(KIND);
   return outcomes;
 }
@@ -24,17 +24,17 @@
 describe('the outcomes of the latest runs at a target', () => {
   it('let all calls in at first, and while some are answered', () => {
     expect(new RunOutcomes().mayBeAnswered(KIND)).to.equal(true);
-    const outcomes = wellTarget();
+    const outcomes = healthyTarget();
     for (let round = 0; round < 20; round += 1) {
-      end(outcomes, 3, RunResult.GivenUp, DEADLINE_MS);
-      end(outcomes, 1, RunResult.Answered, USUAL_MS);
+      runCalls(outcomes, 3, RunResult.GivenUp, DEADLINE_MS);
+      runCalls(outcomes, 1, RunResult.Answered, USUAL_MS);
       expect(outcomes.mayBeAnswered(KIND)).to.equal(true);
     }
   });
 
   it('let no more than one call in where none is answered any more', () => {
-    const outcomes = wellTarget();
-    end(outcomes, 8, RunResult.GivenUp, DEADLINE_MS);
+    const outcomes = healthyTarget();
+    runCalls(outcomes, 8, RunResult.GivenUp, DEADLINE_MS);
     expect(outcomes.mayBeAnswered(KIND)).to.equal(false);
     expect(outcomes.mayBeAnswered('another')).to.equal(true);
     outcomes.onEnd(KIND, RunResult.GivenUp, DEADLINE_MS);
@@ -42,16 +42,16 @@
   });
 
   it('let calls in again as soon as one is answered', () => {
-    const outcomes = wellTarget();
-    end(outcomes, 50, RunResult.GivenUp, DEADLINE_MS);
-    end(outcomes, 1, RunResult.Answered, USUAL_MS);
+    const outcomes = healthyTarget();
+    runCalls(outcomes, 50, RunResult.GivenUp, DEADLINE_MS);
+    runCalls(outcomes, 1, RunResult.Answered, USUAL_MS);
     expect(outcomes.mayBeAnswered(KIND)).to.equal(true);
   });
 
   it('count neither calls that are given up before answers come, nor failures of the target', () => {
-    const outcomes = wellTarget();
-    end(outcomes, 50, RunResult.GivenUp, USUAL_MS / 2);
-    end(outcomes, 50, RunResult.Failed, DEADLINE_MS);
+    const outcomes = healthyTarget();
+    runCalls(outcomes, 50, RunResult.GivenUp, USUAL_MS / 2);
+    runCalls(outcomes, 50, RunResult.Failed, DEADLINE_MS);
     expect(outcomes.mayBeAnswered(KIND)).to.equal(true);
   });
 });
--- a/test/admission/unlike-kinds.test.ts
+++ b/test/admission/unlike-kinds.test.ts
@@ -5,9 +5,9 @@
 import { oneSlotAdmission } from '../support/slot-gate.js';
 
 const LONG_MS = 1_000;
-const LONG_LIMIT_MS = 5_000;
+const LONG_TIMEOUT_MS = 5_000;
 /** Less than a long call takes. */
-const SHORT_LIMIT_MS = 400;
+const SHORT_TIMEOUT_MS = 400;
 
 describe('a gate whose usual calls take long', () => {
   function gate() {
@@ -15,8 +15,8 @@
     const controller = oneSlotAdmission(clock);
     let permit: AdmissionPermit | undefined;
     const events: string[] = [];
-    const offer = (kind: string, limitMs: number): void => {
-      const until = clock.now() + limitMs;
+    const offer = (kind: string, timeoutMs: number): void => {
+      const until = clock.now() + timeoutMs;
       controller.offer(
         { shareClass: 'g', kind, importance: 1, deadlineAt: until, waitUntil: until },
         {
@@ -30,26 +30,26 @@
     };
     const finish = (): void => permit!.release('answered', 0);
     for (let call = 0; call < 20; call += 1) {
-      offer('long', LONG_LIMIT_MS);
+      offer('long', LONG_TIMEOUT_MS);
       clock.advance(LONG_MS);
       finish();
     }
     events.length = 0;
-    offer('long', LONG_LIMIT_MS);
+    offer('long', LONG_TIMEOUT_MS);
     return { clock, events, offer, finish };
   }
 
   it('lets a kind with a short limit wait for its slot', () => {
     const { clock, events, offer, finish } = gate();
-    offer('short', SHORT_LIMIT_MS);
-    clock.advance(SHORT_LIMIT_MS / 4);
+    offer('short', SHORT_TIMEOUT_MS);
+    clock.advance(SHORT_TIMEOUT_MS / 4);
     finish();
     expect(events).to.deep.equal(['long', 'short']);
   });
 
   it('refuses a call at once that can not finish in time, by what its own kind takes', () => {
     const { events, offer } = gate();
-    offer('long', SHORT_LIMIT_MS);
+    offer('long', SHORT_TIMEOUT_MS);
     expect(events).to.deep.equal(['long', 'long deadline']);
   });
 });
