--- a/src/admission/adaptive-limiter.ts
+++ b/src/admission/adaptive-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * A limiter that follows its declared settings: when operators change the algorithm or the bounds,
- * a new limiter takes over from the present limit.
+ * A limiter configured by the concurrency settings of a service. A change of the algorithm or of the bounds creates a new
+ * limiter that starts from the current limit.
  */
 import type { RandomSource } from '../common/random.js';
 import type { ServiceSpec } from '../policy/resource-schema.js';
@@ -10,7 +10,7 @@
 
 type ConcurrencySpec = ServiceSpec['concurrency'];
 
-/** `adaptive` probes for the slots of the target; docs/design/admission.md weighs it against other ways. */
+/** `adaptive` selects {@link ProbeLimiter}; docs/design/admission.md compares it with other algorithms. */
 function createLimiter(
   spec: ConcurrencySpec,
   initial: number,
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Adopts changed settings; does nothing when they are the same. The first ones replace what the
-   * process started with before it knew any; after that, an adaptive limit goes on from where it is.
+   * Applies new settings; a no-op if they are unchanged. The first settings replace the defaults and reset the limit; later
+   * ones keep the current limit within the new bounds, unless the algorithm is `fixed`.
    */
   configure(spec: ConcurrencySpec): void {
     const isFirst = !this.isConfigured;
--- a/src/admission/admission-controller.ts
+++ b/src/admission/admission-controller.ts
@@ -1,8 +1,7 @@
 /**
- * Decides which calls enter the target, which wait, and which are refused. Asked once for each call. Owns the calls in the
- * target, those that wait, and the times that calls took; relies on the limiter for the room, on `queue-wait.ts` for who
- * may wait, and on the sharing order for who comes first and who is refused first. Pure: it is given a clock and a random
- * source, and answers through the listener of each call.
+ * Admission control for one target: admits a call at once, queues it, or refuses it. The concurrency limiter sets how many
+ * calls may be in flight, `queue-wait.ts` how long and how many calls may wait, and the sharing order which waiting call is
+ * admitted or refused next. Free of I/O: the clock and the random source are injected.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
@@ -16,69 +15,68 @@
 import { WaitingCalls, type ShareClassState, type WaitingCall } from './waiting-calls.js';
 import { NO_RETRY_AFTER, notAdmittedSeconds } from '../call/retry-after.js';
 
-/** A call that asks to be let in. */
+/** A call that requests admission. */
 export interface AdmissionRequest {
-  /** The class of calls that share the target's slots with each other. */
+  /** Class whose calls together are entitled to a share of the target's slots. */
   readonly shareClass: string;
   readonly kind: string;
   readonly importance: Importance;
-  /** Rank of the caller's group, 0 the most urgent; comes before the importance. Default 0. */
+  /** Rank of the caller's group, 0 the most urgent; takes precedence over the importance. Default 0. */
   readonly groupRank?: number | undefined;
   /** Monotonic milliseconds. */
   readonly deadlineAt: number;
-  /** Monotonic milliseconds until which it may wait; as the controller's options say if absent. */
+  /** Monotonic milliseconds until which the call may wait. Default: by {@link AdmissionOptions.queueWaitMs}. */
   readonly waitUntil?: number | undefined;
 }
 
-/** Why a call was not let in. Either way it is known not to have run. */
+/** Why a call was refused. In each case the call has not run. */
 export type AdmissionRefusal = 'overload' | 'deadline' | 'leaving';
 
-/** Told exactly one of the two, possibly before {@link AdmissionController.offer} returns. */
+/** Exactly one of the callbacks is called, possibly before {@link AdmissionController.offer} returns. */
 export interface AdmissionListener {
-  /** The call may enter the target. The permit must be released once. */
+  /** The call may be sent to the target. The permit must be released once. */
   onAdmitted(permit: AdmissionPermit): void;
-  /** The call is refused for good. */
+  /** The call is refused. @param retryAfterSeconds delay for `Retry-After`; 0 for none */
   onRefused(reason: AdmissionRefusal, retryAfterSeconds: number): void;
 }
 
-/** The right of one call to be inside the target. */
+/** Allows one call to be in flight at the target. */
 export interface AdmissionPermit {
   /**
-   * The call has left the target.
-   * @param outcome how it ended
-   * @param nestedMs time it spent waiting for calls it made itself
+   * Reports the end of the call; later calls of this method are ignored.
+   * @param outcome how the call ended
+   * @param nestedMs time that the call spent waiting for its own nested calls, in milliseconds
    */
   release(outcome: SampleOutcome, nestedMs: number): void;
 }
 
-/** A call that asked to be let in and has not been answered yet. */
+/** A call whose admission is not decided yet. */
 export interface PendingAdmission {
-  /** Withdraws a call that still waits. The listener hears nothing more. */
+  /** Removes the call from the queue. Its listener is not called any more. */
   cancel(): void;
 }
 
-/** Numbers that describe a node's load. */
+/** Current load of a target. */
 export interface AdmissionStatus {
   readonly limit: number;
   readonly inFlight: number;
   readonly waiting: number;
 }
 
-/** What a controller is made of. */
 export interface AdmissionOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly limiter: ConcurrencyLimiter;
   readonly order: SharingOrder;
-  /** Weight of a share class. */
+  /** Weight of a share class; its share is the weight divided by {@link AdmissionOptions.totalShare}. */
   readonly shareOf: (shareClass: string) => number;
   /** Sum of the weights of all share classes. */
   readonly totalShare: () => number;
-  /** Longest time a call may wait, in milliseconds. */
+  /** Time that a call may wait, in milliseconds; `queue-wait.ts` extends it by importance. */
   readonly queueWaitMs: () => number;
 }
 
-/** Keeps a share above nothing, in calls, so that it can be divided by. */
+/** Lower bound of a share in calls; prevents a division by zero. */
 const MIN_SHARE = 1e-9;
 
 class QueuedCall implements WaitingCall, PendingAdmission {
@@ -104,23 +102,22 @@
   }
 }
 
-/** A call when it entered the target. */
+/** State of a call at its admission. */
 interface AdmittedCall {
   readonly kind: string;
   /** Monotonic milliseconds. */
   readonly startedAt: number;
-  /** Calls in the target then, itself included. */
+  /** Calls in flight at that time, including this one. */
   readonly inFlight: number;
 }
 
-/** Stands for a call that has already been answered. */
+/** Returned for a call that was admitted or refused at once. */
 const ALREADY_DECIDED: PendingAdmission = {
   cancel: () => {
-    // Nothing waits any more.
+    // The call is not in the queue.
   },
 };
 
-/** See the module comment. One controller guards one target. */
 export class AdmissionController {
   private readonly waiting: WaitingCalls<QueuedCall>;
   private inFlight = 0;
@@ -135,7 +132,6 @@
     );
   }
 
-  /** The present load. */
   status(): AdmissionStatus {
     return {
       limit: this.options.limiter.limit,
@@ -144,7 +140,7 @@
     };
   }
 
-  /** Asks for a call to be let in. */
+  /** Admits, queues or refuses a call; the decision is reported to the listener. */
   offer(request: AdmissionRequest, listener: AdmissionListener): PendingAdmission {
     const now = this.options.clock.now();
     this.demandRatio.onOffered(now);
@@ -159,13 +155,13 @@
     return this.enqueue(request, listener, now);
   }
 
-  /** Withdraws a waiting call. Called through {@link PendingAdmission.cancel}. */
+  /** Removes a waiting call from the queue; see {@link PendingAdmission.cancel}. */
   withdraw(call: QueuedCall): void {
     if (!this.waiting.remove(call)) return;
     call.timer?.cancel();
   }
 
-  /** Refuses every waiting call: the target takes none any more. */
+  /** Refuses every waiting call because the target is shutting down. */
   refuseWaiting(): void {
     for (
       let call = this.waiting.takeLowestPriority();
@@ -177,7 +173,7 @@
     }
   }
 
-  /** Lets waiting calls in while there is room. Needed when the limit may have grown. */
+  /** Admits waiting calls up to the limit. Must be called when the limit may have risen. */
   dispatch(): void {
     while (this.inFlight < this.options.limiter.limit) {
       const call = this.waiting.takeNext();
@@ -187,7 +183,7 @@
     }
   }
 
-  /** A process that was frozen may find calls whose deadline passed meanwhile: they must not run. */
+  /** Refuses a call whose deadline passed while timers were delayed, for example in a suspended process. */
   private admitUnlessExpired(call: QueuedCall): void {
     if (call.request.deadlineAt <= this.options.clock.now()) {
       call.listener.onRefused('deadline', NO_RETRY_AFTER);
@@ -223,7 +219,7 @@
     };
   }
 
-  /** Time in the target that a call needs; a kind that was not answered yet is given the benefit. */
+  /** Expected duration of a call in the target; 0 for a kind without an answered call. */
   private expectedDurationMs({ kind }: AdmissionRequest): number {
     return this.targetDurations.meanOf(kind) ?? 0;
   }
@@ -281,7 +277,7 @@
     this.options.limiter.onSample(sample, now);
   }
 
-  /** How much of its share a class uses; room in the queue counts where calls that wait do. */
+  /** Usage of a class relative to its share. If waiting calls are counted, the share includes the queue capacity. */
   private shareUse(state: ShareClassState<QueuedCall>, extraCalls: number): number {
     const { limiter, shareOf, totalShare, clock } = this.options;
     const capacity = limiter.limit + (extraCalls > 0 ? this.queueCapacity() : 0);
@@ -289,7 +285,7 @@
     return (state.usage.use(clock.now()) + extraCalls) / Math.max(share, MIN_SHARE);
   }
 
-  /** Seconds for `Retry-After`, by how much more is offered than let in. */
+  /** Delay for `Retry-After` in seconds, based on the ratio of offered to admitted calls. */
   private retryAfterSeconds(): number {
     return notAdmittedSeconds(this.demandRatio.current(), this.options.random);
   }
--- a/src/admission/call-throttle.ts
+++ b/src/admission/call-throttle.ts
@@ -1,16 +1,16 @@
-/** Early refusal at the caller, from what answers report of the load downstream. */
+/** Interface for early refusal at the caller, based on the downstream load that answers report. */
 
-/** What an answer reports of the load downstream. */
+/** Downstream load reported with an answer. */
 export interface CongestionReport {
-  /** The call, or one made on its behalf, was refused for overload or waited long. */
+  /** Whether the call or one of its nested calls was refused for overload or waited too long for a slot. */
   readonly overloaded: boolean;
 }
 
 export interface CallThrottle {
-  /** Whether to send a call now. */
+  /** Whether to send a call now; if not, the caller refuses it itself. */
   admit(trafficClass: string, now: number): boolean;
-  /** An answer to a call of the traffic class has come. */
+  /** Records an answer to a call of the traffic class. */
   onAnswer(trafficClass: string, now: number, report: CongestionReport): void;
-  /** Wanted calls for each call sent, at least 1. */
+  /** Ratio of requested calls to calls sent, at least 1. */
   pressure(trafficClass: string, now: number): number;
 }
--- a/src/admission/concurrency-limiter.ts
+++ b/src/admission/concurrency-limiter.ts
@@ -1,48 +1,48 @@
 /**
- * The limit on concurrent calls that a node lets into its target. One algorithm a file, all behind
- * {@link ConcurrencyLimiter}. docs/design/admission.md weighs them by measurement.
+ * Interface of the algorithms that limit the calls in flight at a target, each in its own module.
+ * docs/design/admission.md compares them.
  */
 
-/** How a call that was let into the target ended. */
+/** How an admitted call ended. */
 export type SampleOutcome =
   /** The target answered. */
   | 'answered'
-  /** The target shed the call or broke off. */
+  /** The target refused the call for overload, or the attempt failed. */
   | 'dropped'
-  /** The caller went away or the deadline passed: the latency says nothing. */
+  /** The caller cancelled the call or its deadline passed; the latency is not meaningful. */
   | 'cancelled';
 
-/** One finished call, as limiters see it. */
+/** Measurements of one finished call. */
 export interface LatencySample {
-  /** Kind of request; latencies are only compared within a kind. */
+  /** Kind of the call; latencies are compared only within a kind. */
   readonly kind: string;
-  /** Time inside the target in milliseconds, without the time of calls it made itself. */
+  /** Time in the target without its nested calls, in milliseconds. */
   readonly latencyMs: number;
-  /** Time inside the target in milliseconds, all of it: how long the call held a slot. */
+  /** Total time in the target including nested calls, in milliseconds: how long the call occupied a slot. */
   readonly durationMs: number;
-  /** Calls inside the target when this one entered, itself included. */
+  /** Calls in flight when this one was admitted, including itself. */
   readonly inFlight: number;
-  /** Monotonic milliseconds at which the call entered the target. */
+  /** Monotonic milliseconds at which the call was admitted. */
   readonly startedAt: number;
   readonly outcome: SampleOutcome;
 }
 
-/** Bounds that operators declare for a service. */
+/** Limits configured for a service. */
 export interface LimiterBounds {
   readonly initial: number;
   readonly min: number;
   readonly max: number;
 }
 
-/** Decides how many calls may be inside the target at once. Pure: it learns from samples only. */
+/** Sets how many calls may be in flight at the target. */
 export interface ConcurrencyLimiter {
-  /** Calls that may be inside the target now, a whole number of at least 1. */
+  /** Maximum number of calls in flight, an integer of at least 1. */
   readonly limit: number;
-  /** Learns from a finished call. @param now monotonic milliseconds */
+  /** Records a finished call. @param now monotonic milliseconds */
   onSample(sample: LatencySample, now: number): void;
 }
 
-/** Keeps `value` within the declared bounds. */
+/** Clamps `value` to the configured bounds. */
 export function clampLimit(value: number, bounds: LimiterBounds): number {
   return Math.min(bounds.max, Math.max(bounds.min, value));
 }
--- a/src/admission/congestion-level.ts
+++ b/src/admission/congestion-level.ts
@@ -1,18 +1,17 @@
 /**
- * Which part of the calls at one place is delayed or refused: a moving average that fades without calls.
- * Sidecars keep one of the calls that wait for their target and one of the calls that their target
- * makes. A target passes no context on, so its calls can't be tied to the ones it is working on: each
- * of its answers carries the level of all. Owns one average; relies on its callers for what counts as delayed. Pure.
+ * Exponential moving average of the fraction of calls that are delayed or refused, which decays while there are no calls.
+ * A sidecar keeps one for the calls that wait for its target and one for all downstream calls of the target: downstream
+ * calls carry no context that would tie them to a request, so each answer reports the level of all of them.
  */
 import type { Clock } from '../common/clock.js';
 
-/** Least weight of one call in the average: it follows some twenty calls. */
+/** Minimum weight of one call in the average: covers about the last twenty calls. */
 const MIN_CALL_WEIGHT = 0.05;
-/** Where calls are rare each stands for the time since the one before, against this, in milliseconds. */
+/** Time constant, in milliseconds, by which infrequent calls are weighted with the time since the previous call. */
 const AVERAGING_MS = 400;
-/** Without calls for this long, what was learned fades, in milliseconds. */
+/** Time without calls before the level decays, in milliseconds. */
 const DECAY_DELAY_MS = 300;
-/** Time constant of fading, in milliseconds: callers try again within a second or two. */
+/** Time constant of the decay, in milliseconds; about the time after which callers retry. */
 const DECAY_MS = 1_000;
 
 export class CongestionLevel {
@@ -21,7 +20,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** A call ended. @param congestion from 0, neither refused nor delayed, to 1, refused for overload or delayed */
+  /** Records a call. @param congestion 0 (neither refused nor delayed) to 1 (delayed, or refused for overload) */
   onCall(congestion: number): void {
     const before = this.current();
     const now = this.clock.now();
@@ -30,7 +29,7 @@
     this.level = before + weight * (congestion - before);
   }
 
-  /** The level now, from 0 to 1. */
+  /** The current level, 0 to 1. */
   current(): number {
     const decayingMs = this.clock.now() - this.updatedAt - DECAY_DELAY_MS;
     return decayingMs <= 0 ? this.level : this.level * Math.exp(-decayingMs / DECAY_MS);
--- a/src/admission/fixed-limiter.ts
+++ b/src/admission/fixed-limiter.ts
@@ -1,4 +1,4 @@
-/** A limit that never changes: the declared initial value. */
+/** A constant limit: the configured initial value. */
 import type { ConcurrencyLimiter, LimiterBounds } from './concurrency-limiter.js';
 
 export class FixedLimiter implements ConcurrencyLimiter {
@@ -9,6 +9,6 @@
   }
 
   onSample(): void {
-    // A fixed limit learns nothing.
+    // A fixed limit ignores samples.
   }
 }
--- a/src/admission/kind-impact.ts
+++ b/src/admission/kind-impact.ts
@@ -1,51 +1,46 @@
 /**
- * Which kinds of call are delayed by congestion downstream of their target. A target makes calls for some
- * kinds and none for others, and does not say for which: a kind that takes about as long as ever, and
- * succeeds, while calls downstream are congested is not one of them. Asked by a gate for the level that it reports, and
- * for the limit by kind. Usual times are learned only while nothing downstream is congested: worth 0.763 with that and
- * 0.776 without on the fan-in graph at 2.4 times demand, 0.806 and 0.793 on the deep search graph at 2.2, both starting
- * under the overload (docs/rounds/order-mesh.md).
- *
- * Owns the times of each kind; relies on the caller for whether downstream is calm. Pure.
+ * Estimates which kinds of call are delayed by congestion downstream of their target. Targets do not report for which kinds
+ * they make downstream calls, so the recent duration of a kind is compared with its baseline: a kind that succeeds in about
+ * its usual time is not affected. The baseline rises only while downstream calls are not congested, so that delayed answers
+ * are not taken as usual.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 import type { Clock } from '../common/clock.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Weight of one answer in the recent mean: it follows some twenty answers. */
+/** Weight of one answer in the recent mean: covers about the last twenty answers. */
 const WEIGHT = 0.05;
-/** Answers from which a kind is judged; fewer let one slow answer count as delay. */
+/** Minimum uncongested answers to assess a kind; with fewer, one slow answer would count as a delay. */
 const MIN_ANSWERS = 15;
-/** Answers from which the usual time of a kind is told: a gate of many gets a few a second. */
+/** Minimum answers to report the baseline of a kind; low, since each of many gates gets only a few calls per second. */
 const MIN_ANSWERS_FOR_BASELINE = 3;
 /**
- * The usual time is the lowest recent mean; it doubles in this time, in milliseconds. Counted in time and
- * not in answers: a kind with hundreds of calls a second is to remember as long as one with few.
+ * The baseline is the lowest recent mean, and may rise to its double within this time, in milliseconds. Based on time
+ * instead of answers, so that frequent kinds do not lose their baseline sooner than infrequent ones.
  */
 const BASELINE_DOUBLING_MS = 30_000;
-/** A failed answer counts as at least this multiple of the usual time, any answer as no more than that. */
+/** Minimum duration of a failed answer and maximum duration of any answer, as multiples of the baseline. */
 const FAILED_RATIO = 2.5;
 const MAX_RATIO = 4;
 /**
- * Recent time over usual time from which a kind counts as delayed, and as fully delayed: a lower ratio takes chance for
- * delay, a higher one reports it late: a kind whose chain of calls takes four fifths of its objective is late from 1.25 on.
- * Time limits may lie at 1.5 times the usual time.
+ * Ratios of the recent mean to the baseline above which a kind counts as delayed, and as fully delayed. Lower ratios mistake
+ * noise for delay; higher ones detect a delay only after calls have exceeded their objective or timeout.
  */
 const MIN_DELAYED_RATIO = 1.1;
 const FULLY_DELAYED_RATIO = 1.5;
-/** Kinds that are remembered; routes come and go with the configuration. Bounds memory. */
+/** Maximum number of tracked kinds; bounds memory, since kinds change with the configured routes. */
 const MAX_KINDS = 1_000;
-/** Part of the downstream calls up to which they count as not congested: chance waits. */
+/** Maximum downstream congestion level that counts as not congested; tolerates occasional waits. */
 const MAX_UNCONGESTED_LEVEL = 0.05;
 
-/** Whether calls downstream are congested so little that answers tell the usual time of their kinds. */
+/** Whether downstream congestion is so low that answers may update the baseline. @param level 0 to 1 */
 export function isCalm(level: number): boolean {
   return level <= MAX_UNCONGESTED_LEVEL;
 }
 
 interface KindTimes {
   answers: number;
-  /** Those while nothing downstream was congested. */
+  /** Answers received while downstream calls were not congested. */
   uncongestedAnswers: number;
   answeredAt: number;
   recentMs: number;
@@ -58,10 +53,11 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * The target answered a call.
-   * @param durationMs time that the call was in the target, in milliseconds
-   * @param uncongested whether nothing downstream was congested; a process that starts under an overload is not to
-   *   take what it sees for usual
+   * Records an answer of the target.
+   * @param durationMs time that the call spent in the target, in milliseconds
+   * @param status HTTP status of the answer
+   * @param uncongested whether downstream calls were not congested; otherwise the answer does not raise the baseline, and
+   *   does not count towards the minimum of answers, so that a process started under overload gets no inflated baseline
    */
   onAnswer(kind: string, durationMs: number, status: number, uncongested = true): void {
     const times = this.times(kind, durationMs);
@@ -77,7 +73,7 @@
     times.answeredAt = this.clock.now();
   }
 
-  /** How much congestion downstream of the target delays a kind, 0 to 1; 1 where that is not known. */
+  /** How much downstream congestion delays a kind, 0 (not at all) to 1 (fully); 1 if unknown. */
   of(kind: string): number {
     const times = this.kinds.get(kind);
     if (times === undefined || times.uncongestedAnswers < MIN_ANSWERS) return 1;
@@ -88,7 +84,7 @@
     );
   }
 
-  /** Time that a kind takes while nothing downstream is congested, in milliseconds, as far as is known. */
+  /** Duration of a kind without downstream congestion, in milliseconds; undefined if unknown. */
   usualMs(kind: string): number | undefined {
     const times = this.kinds.get(kind);
     return times === undefined || times.answers < MIN_ANSWERS_FOR_BASELINE
--- a/src/admission/kind-limiter.ts
+++ b/src/admission/kind-limiter.ts
@@ -1,82 +1,75 @@
 /**
- * Bounds how many requests of each kind are under way at one target while calls that the target makes are
- * congested. Such requests hold few slots' worth of work, so the limit of the target itself does not bite;
- * they pile up before a service downstream, and all of them are answered late.
+ * Limits the requests of each kind in flight at one target while the target's downstream calls are congested. Requests that
+ * wait for a downstream service use little capacity of the target itself, so the limit of the target does not bound them,
+ * and they would pile up until all of them are late.
  *
- * By Little's law, requests that are answered at a rate of X a millisecond and are to take T milliseconds
- * are X * T at a time. So the limit follows the measured rate of successful answers times the wanted time.
- * A bound on what is under way acts at once: when answers take twice as long, half as many requests begin.
- * Urgent kinds are given a longer wanted time, so they keep what they need, and the less urgent ones share
- * what is left. docs/design/platform.md compares it with refusing a fraction at the ingress. Worth of all kinds with these
- * limits 0.769 on the fan-in graph at 2.4 times demand and 0.815 on the deep search graph at 2.2; without them 0.577 and
- * 0.467 (`lab/simulator/sidecars`, seeds 1 and 2; docs/rounds/order-mesh.md).
- *
- * Asked by a gate for each request of a client; calls of targets are never limited by kind. Owns what is under way of each
- * kind; relies on the gate for whether calls downstream are congested, and for the time that a request is to take. Pure.
+ * By Little's law, X answers per millisecond with a duration of T milliseconds take X * T requests in flight, so the limit
+ * follows the rate of successful answers times the maximum duration of a request. Urgent kinds get a longer maximum duration
+ * and so keep a larger part of the downstream capacity. Nested calls of targets are not limited.
+ * See docs/design/platform.md.
  */
 import type { Clock } from '../common/clock.js';
 
-/** Least time over which the rate of answers is measured, in milliseconds: shorter is noisier, longer lags. */
+/** Minimum window of the answer rate, in milliseconds: a shorter one is noisier, a longer one lags. */
 const MIN_RATE_WINDOW_MS = 500;
-/** Least time constant with which the limit follows rate times wanted time, in milliseconds. */
+/** Minimum time constant of the limit while calls are congested, in milliseconds. */
 const MIN_TIME_CONSTANT_MS = 200;
-/** Least time in which the limit doubles while nothing is congested, in milliseconds. */
+/** Minimum time in which the limit doubles while calls are not congested, in milliseconds. */
 const MIN_DOUBLING_MS = 1_000;
 /**
- * The same three times for kinds that are held long, as multiples of the time in the target. What is let in shows in answers
- * after that time: limits that moved faster followed a few answers of chance, and rose and fell by half every few seconds.
+ * The three times above for kinds with a long duration, as multiples of their mean duration. A change of the limit affects
+ * answers only after that duration; a limit that moves faster follows noise and oscillates.
  */
 const RATE_WINDOW_FACTOR = 1;
 const TIME_CONSTANT_FACTOR = 0.25;
 const DOUBLING_FACTOR = 3;
-/** Weight of one answer in the time in the target: about the last five count. */
+/** Weight of one answer in the moving average of the duration: covers about the last five. */
 const DURATION_WEIGHT = 0.2;
 /**
- * Limit of a kind of which nothing is known yet. Until calls are congested for the first time each answer raises
- * it by one, so that it doubles in the time of an answer: a process that starts while clients press lets in no
- * more than it has seen answered. A higher one lets in more of all kinds at a start, and less of the urgent one is in time
- * (docs/DECISIONS.md).
+ * Limit of a kind without any answer. Until the first congestion each answer raises the limit by one, so that it doubles
+ * within the duration of a request. This bounds what a process admits when it starts under overload; a higher value delays
+ * urgent kinds then.
  */
 const INITIAL_LIMIT = 6;
-/** An answer stands for the time since the one before, but no longer than this, in milliseconds. */
+/** Maximum elapsed time that one event applies to a limit, in milliseconds. */
 const MAX_STEP_MS = 500;
 /**
- * Part of a limit that is open to requests which can't be answered within their objective any more. Clients that were refused
- * come back while others come for the first time: all let in alike, half of what was answered was late.
+ * Fraction of a limit that is available to requests which can no longer meet their objective. Otherwise retries of refused
+ * requests would displace new requests that can still be answered in time.
  */
 const MISSED_OBJECTIVE_FRACTION = 0.5;
-/** Requests of a kind that are let in however long they take: without any, nothing would be learned. */
+/** Minimum limit of a kind: without any admitted request there would be no answers to raise the limit. */
 const MIN_LIMIT = 2;
 /**
- * Runs that last longer than this tell something before they are answered, in milliseconds. Shorter ones are answered as
- * soon; let in on their time alone, 0.71 of the urgent kind was in time after a start under pressure, in the simulation.
+ * Time without a first answer, in milliseconds, after which the limit may grow without answers. Kinds with a shorter
+ * duration have an answer by then, and must not exceed their first limit before it when a process starts under overload.
  */
 const LONG_RUN_MS = 1_000;
-/** Part of the first limit that is in use where it proves too small. */
+/** Fraction of the limit that must be in use for it to grow without answers. */
 const MIN_UTILIZATION = 0.5;
-/** A limit this many times above what is under way, while nothing is congested, is dropped. */
+/** A limit that exceeds the requests in flight by this factor is removed while calls are not congested. */
 const UNLIMITED_ABOVE = 4;
-/** Kinds that are remembered; routes come and go with the configuration. Bounds memory. */
+/** Maximum number of tracked kinds; bounds memory, since kinds change with the configured routes. */
 const MAX_KINDS = 1_000;
 
-/** How a target answered a request. */
+/** An answer of the target to a request. */
 export interface KindAnswer {
-  /** Time that the request should have been in the target at most, in milliseconds. */
+  /** Maximum duration that the request should have had in the target, in milliseconds. */
   readonly maxTargetMs: number;
   readonly succeeded: boolean;
-  /** Time that it was in the target, in milliseconds. */
+  /** Duration of the request in the target, in milliseconds. */
   readonly heldMs: number;
-  /** Whether calls that the target makes for this kind are congested. */
+  /** Whether downstream calls of the target for this kind are congested. */
   readonly isCongested: boolean;
 }
 
-/** What decides besides the limit when a request asks to be let in. */
+/** Conditions, apart from the limit, under which a request is admitted. */
 interface EntryConditions {
-  /** So little congested that work goes on. */
+  /** Whether downstream congestion is negligible. */
   readonly isCalm: boolean;
-  /** So congested that requests of this kind are limited. */
+  /** Whether downstream calls are so congested that requests of this kind are limited. */
   readonly isCongested: boolean;
-  /** Whether it can't be answered within its objective any more. */
+  /** Whether the request can no longer be answered within its objective. */
   readonly missesObjective: boolean;
 }
 
@@ -86,22 +79,22 @@
   missesObjective: false,
 };
 
-/** What the limit that was reached stems from. */
+/** Why a limit is in force. */
 export type KindLimitCause =
-  /** The limit that a kind starts with, raised by its answers: nothing was congested yet. */
+  /** The initial limit of the kind, raised by its answers: no call has been congested so far. */
   | 'first-limit'
-  /** The target's calls for this kind are congested now. */
+  /** Downstream calls of the target for this kind are congested. */
   | 'congested'
-  /** They were, and the limit has not grown back yet. */
+  /** Downstream calls were congested, and the limit has not fully recovered. */
   | 'recovering';
 
-/** Why a request was kept out, with the numbers that decided. */
+/** A request refused because its kind is at its limit. */
 export interface KindLimitReached {
   readonly type: 'limit-reached';
   readonly cause: KindLimitCause;
-  /** Most requests of the kind at a time; it moves in fractions. */
+  /** Maximum number of requests of the kind in flight; not a whole number. */
   readonly limit: number;
-  /** Requests of the kind under way. */
+  /** Requests of the kind in flight. */
   readonly underWay: number;
 }
 
@@ -111,18 +104,18 @@
 
 interface KindState {
   inFlight: number;
-  /** Infinity where there is no limit. */
+  /** Infinity if the kind is not limited. */
   limit: number;
-  /** Whether calls were never congested yet. */
+  /** Whether no downstream call has been congested so far. */
   isStarting: boolean;
-  /** Successful answers a millisecond. */
+  /** Successful answers per millisecond. */
   answersPerMs: number;
   lastAnswerAt: number;
-  /** When the first request asked to be let in, and the last one. */
+  /** Times of the first and of the latest request, in monotonic milliseconds. */
   readonly createdAt: number;
   lastRequestAt: number;
   hasAnswered: boolean;
-  /** Mean time in the target, in milliseconds; 0 before the first answer. */
+  /** Mean duration in the target, in milliseconds; 0 before the first answer. */
   meanDurationMs: number;
 }
 
@@ -131,7 +124,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Counts a request as under way, unless its kind is at its limit. */
+  /** Counts a request as in flight, unless its kind is at its limit. */
   enter(kind: string, entry: EntryConditions = DEFAULT_CONDITIONS): KindEntry {
     const state = this.state(kind);
     const now = this.clock.now();
@@ -143,13 +136,13 @@
     return ENTERED;
   }
 
-  /** A request that {@link enter} counted is over. */
+  /** Removes a request counted by {@link enter}. */
   leave(kind: string): void {
     const state = this.kinds.get(kind);
     if (state !== undefined && state.inFlight > 0) state.inFlight -= 1;
   }
 
-  /** The target answered a request that is still counted as under way. */
+  /** Adjusts the limit after an answer. Must be called before {@link leave}. */
   onAnswer(kind: string, answer: KindAnswer): void {
     const state = this.state(kind);
     const now = this.clock.now();
@@ -165,7 +158,7 @@
     else relax(state, stepMs);
   }
 
-  /** Most requests of a kind at a time; Infinity where there is no limit. */
+  /** Maximum number of requests of a kind in flight; Infinity if the kind is not limited. */
   limitOf(kind: string): number {
     return this.kinds.get(kind)?.limit ?? Infinity;
   }
@@ -207,8 +200,8 @@
 }
 
 /**
- * No answer has come for long, but requests run and their calls are not congested: more are let in the longer that lasts, as
- * long as the limit is made use of. With answers alone 6 of 40 requests got in whose runs take 4.6 s.
+ * Doubles the limit with time while the first answer is outstanding and calls are not congested. Otherwise a kind whose
+ * requests run for seconds would stay at its initial limit until the first of them ends.
  */
 function growWithoutAnswer(state: KindState, now: number): void {
   if (state.hasAnswered || now - state.createdAt < LONG_RUN_MS) return;
@@ -216,7 +209,7 @@
   state.limit *= 2 ** (Math.min(now - state.lastRequestAt, MAX_STEP_MS) / MIN_DOUBLING_MS);
 }
 
-/** Calls downstream are congested: follows what can be answered in the wanted time. */
+/** Moves the limit towards the requests in flight that can be answered within the maximum duration. */
 function tighten(state: KindState, maxTargetMs: number, stepMs: number): void {
   const sustainable = state.answersPerMs * maxTargetMs;
   state.isStarting = false;
@@ -229,7 +222,7 @@
   state.limit = Math.max(MIN_LIMIT, state.limit + weight * (sustainable - state.limit));
 }
 
-/** Nothing is congested: more are let in, until the limit means nothing. */
+/** Raises the limit while calls are not congested, and removes it once it is far above the requests in flight. */
 function relax(state: KindState, stepMs: number): void {
   if (state.isStarting) state.limit += 1;
   else
--- a/src/admission/offered-pressure.ts
+++ b/src/admission/offered-pressure.ts
@@ -1,9 +1,6 @@
-/**
- * How much more is offered to a target than it lets in: two counts that fade with time. Pure. Decides with
- * `call/retry-after.ts` when a call that was not let in may come again.
- */
+/** Ratio of offered to admitted calls at a target, from two exponentially decaying counts. Sets the `Retry-After` of refusals. */
 
-/** Time constant with which the counts fade, in milliseconds. */
+/** Time constant of the decay, in milliseconds. */
 const DECAY_MS = 1_000;
 
 export class DemandRatio {
@@ -11,7 +8,7 @@
   private admitted = 0;
   private decayedAt = 0;
 
-  /** A call asked to be let in. @param now monotonic milliseconds */
+  /** Records a call that requested admission. @param now monotonic milliseconds */
   onOffered(now: number): void {
     const decayFactor = Math.exp((this.decayedAt - now) / DECAY_MS);
     this.decayedAt = now;
@@ -19,12 +16,12 @@
     this.admitted *= decayFactor;
   }
 
-  /** A call was let in. */
+  /** Records an admitted call. */
   onAdmitted(): void {
     this.admitted += 1;
   }
 
-  /** Calls offered for each that was let in, as of the last call offered. */
+  /** Offered calls per admitted call, as of the last offered call. */
   current(): number {
     return this.offered / Math.max(1, this.admitted);
   }
--- a/src/admission/overload-throttle.ts
+++ b/src/admission/overload-throttle.ts
@@ -1,39 +1,32 @@
 /**
- * Early refusal at the caller: what callees refuse for overload is learned from their answers, and a
- * part of the calls that would be refused is no longer sent.
+ * Early refusal at the caller: calls that would probably be refused for overload are not sent.
  *
- * For each traffic class (kind and group, or route and service) a process keeps the fraction of calls that it sends. Each refusal
- * shrinks the fraction, and time without refusals doubles it. So the refusals that one traffic class of one
- * process causes settle at a few a second, whatever the excess demand, and an idle callee is filled
- * again about a second after the overload ends, however few calls the class has.
+ * Keeps, for each traffic class (kind and group, or route and service), the fraction of calls to send. Each refusal decreases
+ * the fraction by a factor, and it doubles over a period without refusals. So a traffic class causes only a few refusals per
+ * second at any excess demand, and recovers within about a second after the overload, even if it has few calls.
  * docs/design/admission.md compares this with counting accepted calls (Beyer et al., "Site Reliability
- * Engineering", 2016, chapter 21) and with windows of answers, which both refill more slowly.
+ * Engineering", 2016, chapter 21) and with windows of answers, which both recover more slowly.
  */
 import type { RandomSource } from '../common/random.js';
 import type { CallThrottle, CongestionReport } from './call-throttle.js';
 
-/** How a throttle answers to refusals. */
 export interface ThrottleOptions {
-  /** False only in the lab, to show what the throttle is for. Default true. */
+  /** False to send every call; for comparisons in the lab. Default true. */
   readonly enabled?: boolean;
-  /** Factor by which one refusal shrinks the fraction. Default 0.9. */
+  /** Factor applied to the fraction for each refusal, less than 1. Default 0.9. */
   readonly decreaseFactor?: number;
   /** Time without refusals in which the fraction doubles, in milliseconds. Default 250. */
   readonly doublingMs?: number;
-  /** Refusals within this time after one that counted do not count, in milliseconds. Default 0. */
+  /** Time after a counted refusal during which further refusals are ignored, in milliseconds. Default 0. */
   readonly cooldownMs?: number;
 }
 
-/**
- * Factor for each refusal, and time in which the fraction doubles, in milliseconds. With both, idle callees were filled
- * again within 0.6 s; counting accepted calls took 4.6 to 5.1 s (simulated; docs/design/admission.md).
- */
 const DEFAULT_DECREASE_FACTOR = 0.9;
 const DEFAULT_DOUBLING_MS = 250;
-/** The fraction never falls below this, so that answers still tell when there is room again. */
+/** Minimum fraction, so that answers still show when callees have capacity again. */
 const MIN_FRACTION = 0.02;
 
-/** The fraction sent of one traffic class as of its last refusal. */
+/** Fraction of the calls of one traffic class to send, as of its last refusal. */
 interface ClassState {
   fraction: number;
   refusedAt: number;
@@ -47,7 +40,6 @@
     private readonly options: ThrottleOptions = {},
   ) {}
 
-  /** Whether to send a call now. */
   admit(trafficClass: string, now: number): boolean {
     if (this.options.enabled === false) return true;
     const fraction = this.fractionAt(this.classes.get(trafficClass), now);
@@ -58,7 +50,7 @@
     if (overloaded) this.onRefused(trafficClass, now);
   }
 
-  /** A call that was sent, or one made on its behalf, was refused for overload. */
+  /** Records that a call, or one of its nested calls, was refused for overload. */
   onRefused(trafficClass: string, now: number): void {
     const { decreaseFactor = DEFAULT_DECREASE_FACTOR } = this.options;
     const state = this.classes.get(trafficClass);
@@ -72,7 +64,6 @@
     }
   }
 
-  /** Wanted calls for each call sent, at least 1. */
   pressure(trafficClass: string, now: number): number {
     return 1 / this.fractionAt(this.classes.get(trafficClass), now);
   }
--- a/src/admission/probe-limiter.ts
+++ b/src/admission/probe-limiter.ts
@@ -1,17 +1,14 @@
 /**
- * Finds the number of slots of a target by comparing latency at two levels of concurrency.
+ * Estimates the number of slots of a target by comparing latency at two levels of concurrency.
  *
- * A target with S slots serves up to S calls in their service time; beyond S, calls wait inside it
- * and latency grows with concurrency. The limiter compares calls at the full limit with calls at a
- * lowered one (a probe between two holds). When the probe's calls are clearly faster, calls were
- * waiting inside the target and the limit falls; otherwise it may rise. Because only levels that are
- * close in time are compared, a service that becomes slower as a whole does not pull the limit down,
- * which is where limits that compare with a remembered latency lose throughput. When the two holds
- * differ, the service itself changed in between and nothing is concluded (docs/design/admission.md).
+ * A target with S slots serves up to S calls at once; beyond S, calls wait inside it and latency grows with concurrency. The
+ * limiter compares a phase at a lowered limit (the probe) with the phases at the full limit before and after it (the holds).
+ * If calls of the probe are clearly faster, calls were waiting inside the target and the limit falls; otherwise it may rise.
+ * Only adjacent phases are compared, so a service that becomes slower as a whole does not lower the limit. If the two holds
+ * differ, the service itself has changed and the comparison is discarded (docs/design/admission.md).
  *
- * Waiting is measured on the target's own time, without nested calls, since their latency varies for
- * other reasons. It is then set against the whole time that a call holds its slot: with a limit of L,
- * `L / S` is the time held divided by the time held without waiting.
+ * The comparison uses latency without nested calls, which varies for other reasons. The waiting time found is then related
+ * to the total duration of a call: with a limit of L, `L / S` is the duration divided by the duration without waiting.
  */
 import type { RandomSource } from '../common/random.js';
 import {
@@ -21,33 +18,27 @@
   type LimiterBounds,
 } from './concurrency-limiter.js';
 
-/*
- * With all of the constants below, goodput was 93.7% and 94.2% of what the bottleneck could have finished, 95.5% and 95.0%
- * with a fixed limit at the true number of slots (surge-slow-ledger and surge-slow-ranker, 3 seeds;
- * docs/design/admission.md). None is measured by itself.
- */
-
-/** Part of the limit that is in force during a probe. */
+/** Fraction of the limit that is in force during a probe. */
 const PROBE_FRACTION = 0.8;
-/** Samples of each hold and of the probe: fewer are noisier, more take longer. */
+/** Samples per phase: fewer are noisier, more take longer. */
 const SAMPLES_PER_PHASE = 60;
 /**
- * Ratio of latencies above which too many calls were waiting inside the target. A limit a little
- * above the slots costs some waiting; one below them costs throughput, so the limit errs upwards.
+ * Ratio of calls inside the target to calls being served above which the limit falls. A limit slightly above the number of
+ * slots causes some waiting, one below it loses throughput, so the threshold tolerates some waiting.
  */
 const WAITING_RATIO = 1.2;
-/** Ratio below which there is room to grow. */
+/** Ratio below which the limit rises. */
 const ROOM_RATIO = 1.08;
-/** How many standard errors a difference must have before the limit falls. */
+/** Minimum difference of the latencies, in standard errors, for the limit to fall. */
 const SIGNIFICANCE = 2.5;
-/** When the holds differ by more than this ratio, the service changed meanwhile. */
+/** Ratio between the two holds above which the comparison is discarded. */
 const DRIFT_RATIO = 1.25;
-/** Pause after a comparison, in milliseconds; it doubles while comparisons change nothing. */
+/** Bounds of the pause after a comparison, in milliseconds; it doubles while comparisons leave the limit unchanged. */
 const MIN_PAUSE_MS = 4_000;
 const MAX_PAUSE_MS = 30_000;
-/** Factor for each call that the target shed or broke off. */
+/** Factor applied to the limit for each dropped call. */
 const DROP_FACTOR = 0.95;
-/** Weight of one call in the usual latency of its kind. */
+/** Weight of one call in the moving averages of latency and duration. */
 const MEAN_WEIGHT = 0.01;
 
 /** Mean and variance of the latencies of one phase (Welford's method). */
@@ -109,7 +100,7 @@
       if (isFull && sample.startedAt >= this.phaseStartedAt) this.collect(latency, now);
       return;
     }
-    // The first full limit only starts the pause: a surge that has just begun tells little.
+    // Reaching the limit for the first time only starts the pause: latencies at the start of a surge are not representative.
     if (isFull && this.nextComparisonAt === undefined) this.pause(MIN_PAUSE_MS, now);
     if (this.nextComparisonAt !== undefined && now >= this.nextComparisonAt)
       this.startComparison(now);
@@ -123,7 +114,7 @@
     return Math.max(1, Math.floor(this.holdLimit() * PROBE_FRACTION));
   }
 
-  /** Latency relative to the usual latency of its kind, so that a changing mix does not matter. */
+  /** Latency relative to the mean of its kind, so that a changing mix of kinds has no effect. */
   private normalise(sample: LatencySample): number {
     const mean = this.kindMeans.get(sample.kind) ?? sample.latencyMs;
     this.kindMeans.set(sample.kind, mean + MEAN_WEIGHT * (sample.latencyMs - mean));
@@ -186,7 +177,7 @@
     }
   }
 
-  /** Calls inside the target for each that is being served, from the waiting that the probe saw. */
+  /** Ratio of calls inside the target to calls being served, from the waiting time that the probe avoided. */
   private occupancyRatio(holdMean: number): number {
     const waitingMs = (holdMean - this.probe.mean) * this.meanLatencyMs;
     const servedMs = Math.max(this.meanDurationMs - waitingMs, this.meanDurationMs / 2);
@@ -195,18 +186,18 @@
 
   private pause(pauseMs: number, now: number): void {
     this.pauseMs = pauseMs;
-    // Spread, so that the targets of a service do not probe together.
+    // Jitter, so that the targets of a service do not probe at the same time.
     this.nextComparisonAt = now + pauseMs * (0.5 + this.random.next());
   }
 
-  /** Whether the difference between holds and probe is larger than chance explains. */
+  /** Whether the difference between the holds and the probe is statistically significant. */
   private isSignificant(holdMean: number): boolean {
     const holdVariance = (this.firstHold.meanVariance + this.secondHold.meanVariance) / 4;
     const standardError = Math.sqrt(holdVariance + this.probe.meanVariance);
     return holdMean - this.probe.mean > SIGNIFICANCE * standardError;
   }
 
-  /** Waiting inside the target is proportional to the limit, so the ratio says how far to go. */
+  /** Divides the limit by the occupancy ratio, but goes no lower than the limit of the probe. */
   private shrink(ratio: number): void {
     const maxRatio = this.holdLimit() / this.probeLimit();
     this.fractionalLimit = clampLimit(
@@ -217,7 +208,7 @@
 
   private grow(): void {
     this.fractionalLimit = clampLimit(this.fractionalLimit + this.growthStep, this.bounds);
-    // Comparisons that find room in a row grow faster, up to half the limit at once.
+    // The step doubles with each consecutive increase, up to half the limit.
     this.growthStep = Math.max(1, Math.min(2 * this.growthStep, this.fractionalLimit / 2));
   }
 
--- a/src/admission/queue-wait.ts
+++ b/src/admission/queue-wait.ts
@@ -1,49 +1,43 @@
-/**
- * How long a call may wait for a slot, how many may wait, and what a call that was not let in is told. Pure. Asked by the
- * admission controller for each call that finds no slot; relies on it for the present limit and the times in the target.
- */
+/** Rules for calls that find no free slot: how long a call may wait, how many may wait, and the reason for a refusal. */
 import type { Importance } from '../policy/importance.js';
 
-/** A call that found no slot. */
+/** A call that found no free slot. */
 export interface WaitRequest {
   readonly importance: Importance;
-  /** Milliseconds left until its deadline. */
+  /** Time until the deadline, in milliseconds. */
   readonly remainingMs: number;
-  /** Longest wait that the call brought with it, in milliseconds; undefined where it brought none. */
+  /** Maximum wait that the call specifies, in milliseconds; undefined if it specifies none. */
   readonly requestedWaitMs: number | undefined;
-  /** Time that the call is expected to be in the target, in milliseconds. */
+  /** Expected duration of the call in the target, in milliseconds. */
   readonly expectedDurationMs: number;
 }
 
-/** Why a call that may not wait is refused. */
 type WaitRefusal =
-  /** Too little time is left for it, whatever room there is. */
+  /** Too little time is left until the deadline. */
   | 'deadline'
-  /** There is no room in its time. */
+  /** No slot is expected to become free in time. */
   | 'overload';
 
-/** Whether a call may wait. */
 type WaitDecision =
   | { readonly type: 'wait'; readonly maxWaitMs: number }
   | { readonly type: 'refused'; readonly reason: WaitRefusal };
 
 /**
- * Important calls may wait longer, in multiples of the declared wait: by importance, least first. They pass the others in
- * the queue, so a longer wait lets them through chance bursts. At 2.5 times the demand 1.1 to 3.7% of one group's critical
- * calls were refused with 1; with 2 none in 40 seeds; 3 and 4 cost two points of goodput (docs/design/admission.md).
+ * Maximum wait as multiples of the configured wait, by importance, lowest first. Important calls overtake others in the
+ * queue, so with a longer wait they survive short bursts without being refused. See docs/design/admission.md.
  */
 const WAIT_FACTORS: readonly number[] = [1, 1, 2, 2];
 const LONGEST_WAIT_FACTOR = Math.max(...WAIT_FACTORS);
-/** Calls that may wait however long calls take: a queue of none would refuse chance bursts. */
+/** Minimum queue capacity, so that short bursts are not refused even if calls take long. */
 const MIN_QUEUE_CAPACITY = 2;
-/** Stands for the time in the target before a first answer, and the least that is reckoned with, in milliseconds. */
+/** Mean duration assumed before the first answer, and lower bound of the mean duration, in milliseconds. */
 const DEFAULT_DURATION_MS = 1;
 const MIN_DURATION_MS = 0.1;
 
 /**
- * How long a call may wait: no longer than declared for its importance, and only while it can still finish before its
- * deadline.
- * @param queueWaitMs the declared longest wait
+ * Decides whether and how long a call may wait: up to the wait that it specifies or else the wait of its importance, and
+ * only while it can still finish before its deadline.
+ * @param queueWaitMs configured maximum wait, in milliseconds
  */
 export function decideWait(request: WaitRequest, queueWaitMs: number): WaitDecision {
   const { importance, remainingMs, requestedWaitMs, expectedDurationMs } = request;
@@ -54,15 +48,16 @@
   return { type: 'refused', reason: remainingMs < queueWaitMs ? 'deadline' : 'overload' };
 }
 
-/** Why a call is refused whose wait is over. */
+/** Reason for refusing a call whose wait timed out. */
 export function waitTimeoutReason(remainingMs: number, expectedDurationMs: number): WaitRefusal {
   return remainingMs <= expectedDurationMs ? 'deadline' : 'overload';
 }
 
 /**
- * Calls that can be expected to enter within the longest wait.
- * @param limit calls that may be in the target at once
- * @param meanDurationMs mean time in the target, in milliseconds; undefined before a first answer
+ * Queue capacity: the number of calls that are expected to be admitted within the longest wait.
+ * @param limit maximum number of calls in flight
+ * @param meanDurationMs mean duration in the target, in milliseconds; undefined before the first answer
+ * @param queueWaitMs configured maximum wait, in milliseconds
  */
 export function queueCapacity(
   limit: number,
--- a/src/admission/run-outcomes.ts
+++ b/src/admission/run-outcomes.ts
@@ -1,25 +1,21 @@
 /**
- * Whether a target still answers calls of a kind before it is given up on. Asked by a gate before it lets a call in: a target
- * that has turned many times slower works on calls until their deadlines and answers none, and each caller would have to find
- * that out with calls of its own, again and again. Refused at once, a call has time for another target.
- *
- * Answers the load of many callers with a few calls each, before targets of which some are many times slower than usual. Owns
- * the ends of the latest runs of each kind; relies on the gate to tell every end. Pure.
+ * Circuit breaker for each kind of call at one target. When a target has become so slow that calls run until their deadlines
+ * without an answer, the gate refuses further calls at once, so that callers still have time to use another target.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 
-/** Weight of one run in what is known of its kind: about the last five count, so that it turns within so many. */
+/** Weight of one run in the moving averages of its kind: covers about the last five. */
 const WEIGHT = 0.2;
-/** Part of the runs below which a kind counts as not answered: eight without any answer in a row. */
+/** Fraction of answered runs below which the circuit opens: eight consecutive runs without an answer. */
 const MIN_ANSWERED_RATIO = 0.2;
-/** Kinds that are remembered, a bound on memory; routes come and go with the configuration. */
+/** Maximum number of tracked kinds; bounds memory, since kinds change with the configured routes. */
 const MAX_KINDS = 1_000;
 
-/** The runs of one kind. */
+/** Statistics of the runs of one kind. */
 interface KindRuns {
-  /** Part of the latest ones that were answered, 0 to 1. */
+  /** Moving average of the fraction of runs that were answered, 0 to 1. */
   answeredRatio: number;
-  /** Mean time to the answer, in milliseconds; 0 before the first. */
+  /** Moving average of the time to the answer, in milliseconds; 0 before the first answer. */
   meanAnswerMs: number;
   inFlight: number;
 }
@@ -27,9 +23,9 @@
 /** How a run ended. */
 export enum RunResult {
   Answered,
-  /** The target failed it, which says nothing of its speed. */
+  /** The target failed the run; not counted, since a failure does not show that the target is slow. */
   Failed,
-  /** It was given up, at its deadline or by its caller. */
+  /** The run reached its deadline or was cancelled by its caller. */
   GivenUp,
 }
 
@@ -37,20 +33,20 @@
   private readonly kinds = new BoundedMap<KindRuns>(MAX_KINDS);
 
   /**
-   * Whether a call can be expected to be answered. Where that is not so, one at a time is let in all the same: it finds out
-   * when the target is well again.
+   * Whether a call may be sent to the target. While the circuit is open, one call at a time is allowed as a probe; a single
+   * answer closes the circuit.
    */
   mayBeAnswered(kind: string): boolean {
     const runs = this.kinds.get(kind);
     return runs === undefined || runs.inFlight === 0 || runs.answeredRatio >= MIN_ANSWERED_RATIO;
   }
 
-  /** A call is about to arrive at the target. */
+  /** Records that a call is about to be sent to the target. */
   onBegin(kind: string): void {
     this.runsOf(kind).inFlight += 1;
   }
 
-  /** A call that {@link onBegin} told of is over. @param durationMs time since then, in milliseconds */
+  /** Records the end of a call reported to {@link onBegin}. @param durationMs time since then, in milliseconds */
   onEnd(kind: string, result: RunResult, durationMs: number): void {
     const runs = this.runsOf(kind);
     runs.inFlight = Math.max(0, runs.inFlight - 1);
@@ -59,7 +55,7 @@
         runs.meanAnswerMs === 0 ? durationMs : updatedMean(runs.meanAnswerMs, durationMs);
       runs.answeredRatio = updatedMean(runs.answeredRatio, 1);
     }
-    // A run that was given up sooner than answers come might have been answered.
+    // A run cancelled before the usual time to an answer does not show that the target is slow.
     if (result === RunResult.GivenUp && durationMs > runs.meanAnswerMs) {
       runs.answeredRatio = updatedMean(runs.answeredRatio, 0);
     }
--- a/src/admission/share-class-usage.ts
+++ b/src/admission/share-class-usage.ts
@@ -1,6 +1,6 @@
-/** A share class's recent use of a target: its calls inside the target, averaged over about a second. */
+/** Slots of a target used by one share class: calls in flight, combined with their moving average. */
 
-/** Time constant of the average, in milliseconds: how long a class that was short of its share may catch up. */
+/** Time constant of the average, in milliseconds: how long a class below its share may catch up afterwards. */
 const AVERAGING_MS = 1_000;
 
 export class ShareClassUsage {
@@ -8,16 +8,16 @@
   private updatedAt = 0;
   private inFlight = 0;
 
-  /** Records that `delta` calls entered (1) or left (-1) the target. */
+  /** Records an admitted (1) or finished (-1) call. @param now monotonic milliseconds */
   change(delta: number, now: number): void {
     this.updateAverage(now);
     this.inFlight += delta;
   }
 
   /**
-   * The use that is compared with the class's share: half the recent average, so that a class that
-   * was short of its share catches up, and half the present value, so that a burst does not take
-   * every slot at once.
+   * The usage to compare with the share of the class: the mean of the moving average, which lets a class that was below its
+   * share catch up, and of the calls in flight, which prevents a burst from taking every slot at once.
+   * @param now monotonic milliseconds
    */
   use(now: number): number {
     this.updateAverage(now);
--- a/src/admission/sharing-policy.ts
+++ b/src/admission/sharing-policy.ts
@@ -1,19 +1,19 @@
 /**
- * The order in which waiting calls are let in, and the reverse order in which they are refused.
- * docs/design/admission.md weighs the orders by measurement.
+ * Order in which waiting calls are admitted; they are refused in reverse order.
+ * docs/design/admission.md compares the orders.
  */
 import type { Importance } from '../policy/importance.js';
 
-/** The calls of one share class, rank and importance that wait at a node. */
+/** The waiting calls of one share class, group rank and importance. */
 export interface SharingCandidate {
   readonly importance: Importance;
-  /** Rank of the callers' groups, 0 the most urgent; comes before the importance. */
+  /** Rank of the callers' groups, 0 the most urgent; takes precedence over the importance. */
   readonly groupRank: number;
-  /** The class's use of the target relative to its share; below 1 it is within its share. */
+  /** Usage of the class relative to its share; less than 1 means within its share. */
   readonly shareUse: number;
 }
 
-/** Orders candidates: negative when `first` is to be let in before `second`. */
+/** Compares two candidates; negative if `first` is admitted before `second`. */
 export type SharingOrder = (first: SharingCandidate, second: SharingCandidate) => number;
 
 function byImportance(first: SharingCandidate, second: SharingCandidate): number {
@@ -28,7 +28,7 @@
   return candidate.shareUse < 1;
 }
 
-/** Share classes within their share first; capacity they leave idle goes by importance, then by share. */
+/** Classes within their share first; the remaining capacity goes by importance, then by usage of the share. */
 const shareFirst: SharingOrder = (first, second) => {
   const firstWithin = isWithinShare(first);
   const secondWithin = isWithinShare(second);
@@ -36,11 +36,11 @@
   return byImportance(first, second) || byShareUse(first, second);
 };
 
-/** Importance alone, shares only among equals: a flood of important calls starves other share classes. */
+/** By importance, then by usage of the share. A flood of important calls can starve other share classes. */
 const importanceFirst: SharingOrder = (first, second) =>
   byImportance(first, second) || byShareUse(first, second);
 
-/** Every sharing order by name. The programs use `share-first`; the lab shows what starves without it. */
+/** All sharing orders by name. */
 export const SHARING_ORDERS = {
   'share-first': shareFirst,
   'importance-first': importanceFirst,
--- a/src/admission/waiting-calls.ts
+++ b/src/admission/waiting-calls.ts
@@ -1,25 +1,25 @@
 /**
- * The calls that wait at a node, by share class, rank of the caller's group and importance. Within each, the one that must be let in
- * first comes first; calls without a bound of their own stay in the order in which they came.
+ * Queue of the calls that wait for a slot, by share class, group rank and importance. Within each of these, calls are ordered
+ * by the end of their wait; calls without their own `waitUntil` are in order of arrival.
  */
 import { IMPORTANCE_COUNT, type Importance } from '../policy/importance.js';
 import type { ShareClassUsage } from './share-class-usage.js';
 import type { SharingCandidate, SharingOrder } from './sharing-policy.js';
 
-/** A call that waits. */
+/** A call in the queue. */
 export interface WaitingCall {
-  /** The class of calls that it shares the slots of the target with. */
+  /** Class whose calls together are entitled to a share of the target's slots. */
   readonly shareClass: string;
   readonly importance: Importance;
   /** Rank of the caller's group, 0 the most urgent. */
   readonly groupRank: number;
-  /** Monotonic milliseconds until which it waits, where the call brought a bound of its own. */
+  /** Monotonic milliseconds until which the call may wait; undefined if the call does not specify it. */
   readonly waitUntil?: number | undefined;
 }
 
-/** Everything that is kept about one share class. */
+/** Waiting calls and slot usage of one share class. */
 export class ShareClassState<Call extends WaitingCall> {
-  /** Calls by the rank of the caller's group, then by importance. */
+  /** Waiting calls by group rank, then by importance. */
   private readonly waiting = new Map<number, Call[][]>();
   waitingCount = 0;
 
@@ -28,7 +28,7 @@
     readonly usage: ShareClassUsage,
   ) {}
 
-  /** The calls that wait with this rank and importance. */
+  /** The waiting calls with this rank and importance. */
   calls({ groupRank, importance }: Pick<Call, 'groupRank' | 'importance'>): Call[] {
     let byImportance = this.waiting.get(groupRank);
     if (byImportance === undefined) {
@@ -38,7 +38,7 @@
     return byImportance[importance]!;
   }
 
-  /** Ranks and importances with at least one call that waits. */
+  /** Combinations of rank and importance with at least one waiting call. */
   *queues(): Iterable<{ groupRank: number; importance: Importance; calls: Call[] }> {
     for (const [groupRank, byImportance] of this.waiting) {
       for (const [importance, calls] of byImportance.entries()) {
@@ -48,19 +48,19 @@
   }
 }
 
-/** One share class, rank and importance with at least one waiting call. */
+/** The waiting calls of one share class, rank and importance; not empty. */
 interface Queue<Call extends WaitingCall> extends SharingCandidate {
   readonly calls: Call[];
   readonly state: ShareClassState<Call>;
 }
 
-/** How much of its share a class uses, given the calls to count besides those in the target. */
+/** Usage of a class relative to its share. @param extraCalls calls to count in addition to those in flight */
 export type ShareUseOf<Call extends WaitingCall> = (
   state: ShareClassState<Call>,
   extraCalls: number,
 ) => number;
 
-/** Waiting calls of all share classes, and the choice of the next to let in or to refuse. */
+/** The queue of a target; selects the next call to admit or to refuse. */
 export class WaitingCalls<Call extends WaitingCall> {
   private readonly shareClasses = new Map<string, ShareClassState<Call>>();
   private total = 0;
@@ -71,12 +71,11 @@
     private readonly createUsage: () => ShareClassUsage,
   ) {}
 
-  /** Number of waiting calls. */
   get size(): number {
     return this.total;
   }
 
-  /** The state of a share class, made when it is first seen. */
+  /** The state of a share class, created on first use. */
   shareClass(name: string): ShareClassState<Call> {
     let state = this.shareClasses.get(name);
     if (state === undefined) {
@@ -93,7 +92,7 @@
     this.total += 1;
   }
 
-  /** Removes a call that waits; false when it does not. */
+  /** Removes a call; returns false if it is not in the queue. */
   remove(call: Call): boolean {
     const state = this.shareClass(call.shareClass);
     const calls = state.calls(call);
@@ -105,7 +104,7 @@
     return true;
   }
 
-  /** Takes out the call that is to be let in next. */
+  /** Removes and returns the call to admit next. */
   takeNext(): Call | undefined {
     let best: Queue<Call> | undefined;
     for (const queue of this.queues(false)) {
@@ -116,7 +115,7 @@
     return call;
   }
 
-  /** Takes out the call that is to be refused first: the newest of the last queue. */
+  /** Removes and returns the call to refuse first: the last call of the queue that comes last in the sharing order. */
   takeLowestPriority(): Call | undefined {
     let worst: Queue<Call> | undefined;
     for (const queue of this.queues(true)) {
@@ -128,9 +127,9 @@
   }
 
   /**
-   * The queues with waiting calls.
-   * @param countWaiting whether the calls that wait count towards their class's use: when choosing
-   *   whom to refuse they do, so that a class is judged by what it asks for
+   * Yields the queues that are not empty.
+   * @param countWaiting whether waiting calls count towards the usage of their class; true when a call to refuse is
+   *   selected, so that the classes with the highest demand are refused first
    */
   private *queues(countWaiting: boolean): Iterable<Queue<Call>> {
     for (const state of this.shareClasses.values()) {
@@ -141,7 +140,7 @@
   }
 }
 
-/** Inserts after every call whose wait ends no later. */
+/** Inserts `call` after all calls whose wait ends at the same time or earlier. */
 function insertByExpiry<Call extends WaitingCall>(calls: Call[], call: Call): void {
   let index = calls.length;
   const { waitUntil } = call;
--- a/test/admission/early-refusal.test.ts
+++ b/test/admission/early-refusal.test.ts
@@ -37,7 +37,7 @@
 });
 
 describe('the impact of congestion on kinds of call', () => {
-  /** Answers of a kind whose times spread by half around their mean. */
+  /** Records answers with durations spread by 50% around their mean. */
   function recordAnswers(impact: KindImpact, kind: string, meanMs: number, status = 200): void {
     const random = new SeededRandom(5);
     for (let count = 0; count < 200; count += 1) {
--- a/test/admission/group-rank.test.ts
+++ b/test/admission/group-rank.test.ts
@@ -9,7 +9,7 @@
 import { GATE_SHARING, GateShareClass } from '../../src/gate/gate-policy.js';
 import type { Importance } from '../../src/policy/importance.js';
 
-/** Requests of groups of several ranks press on a target of one slot; all of them come while it is busy. */
+/** Requests of groups with several ranks queue for a target whose only slot is in use. */
 describe('the rank of a group where requests wait', () => {
   let clock: VirtualClock;
   let admission: AdmissionController;
--- a/test/admission/kind-limiter.test.ts
+++ b/test/admission/kind-limiter.test.ts
@@ -8,8 +8,8 @@
 
 describe('the limit of a kind of request', () => {
   /**
-   * A service below that answers `perSecond` requests, however many wait for it, and `demand` requests a
-   * second that ask to be let in. @returns the times of the answers of the last second
+   * Simulates a downstream service that answers `perSecond` requests per second at any concurrency, under `demand` requests
+   * per second. @returns the number of refused requests, and the mean duration of those answered in the last second
    */
   function simulateOverload(
     perSecond: number,
--- a/test/admission/run-outcomes.test.ts
+++ b/test/admission/run-outcomes.test.ts
@@ -5,7 +5,7 @@
 const USUAL_MS = 140;
 const DEADLINE_MS = 700;
 
-/** Ends calls that have just begun. */
+/** Starts and ends `count` calls. */
 function runCalls(outcomes: RunOutcomes, count: number, result: RunResult, ranMs: number): void {
   for (let call = 0; call < count; call += 1) {
     outcomes.onBegin(KIND);
@@ -13,7 +13,7 @@
   }
 }
 
-/** A target that has answered, with a call under way. */
+/** A target with answered calls and one call in flight. */
 function healthyTarget(): RunOutcomes {
   const outcomes = new RunOutcomes();
   runCalls(outcomes, 10, RunResult.Answered, USUAL_MS);
--- a/test/admission/unlike-kinds.test.ts
+++ b/test/admission/unlike-kinds.test.ts
@@ -1,4 +1,4 @@
-/** A kind of call is judged by its own time in the target, not by that of others. Virtual time. */
+/** The expected duration of a call is the mean of its own kind, not the mean over all kinds. */
 import { expect } from 'chai';
 import type { AdmissionPermit } from '../../src/admission/admission-controller.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
@@ -6,7 +6,7 @@
 
 const LONG_MS = 1_000;
 const LONG_TIMEOUT_MS = 5_000;
-/** Less than a long call takes. */
+/** Less than the duration of a long call. */
 const SHORT_TIMEOUT_MS = 400;
 
 describe('a gate whose usual calls take long', () => {
