--- a/src/admission/kind-impact.ts
+++ b/src/admission/kind-impact.ts
@@ -1,8 +1,8 @@
 /**
  * Estimates which kinds of call are delayed by congestion downstream of their target. Targets do not report for which kinds
  * they make downstream calls, so the recent duration of a kind is compared with its baseline: a kind that succeeds in about
- * its usual time is not affected. The baseline rises only while downstream calls are not congested, so that delayed answers
- * are not taken as usual.
+ * its usual time is not affected. Once established, the baseline rises only while downstream calls are not congested, so that
+ * delayed answers are not taken as usual.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 import type { Clock } from '../common/clock.js';
@@ -33,7 +33,7 @@
 /** Maximum downstream congestion level that counts as not congested; tolerates occasional waits. */
 const MAX_UNCONGESTED_LEVEL = 0.05;
 
-/** Whether downstream congestion is so low that answers may update the baseline. @param level 0 to 1 */
+/** Whether downstream congestion is so low that answers may raise the baseline. @param level 0 to 1 */
 export function isCalm(level: number): boolean {
   return level <= MAX_UNCONGESTED_LEVEL;
 }
@@ -56,8 +56,9 @@
    * Records an answer of the target.
    * @param durationMs time that the call spent in the target, in milliseconds
    * @param status HTTP status of the answer
-   * @param uncongested whether downstream calls were not congested; otherwise the answer does not raise the baseline, and
-   *   does not count towards the minimum of answers, so that a process started under overload gets no inflated baseline
+   * @param uncongested whether downstream calls were not congested; otherwise the answer does not count towards the
+   *   answers that establish the baseline, nor raise it afterwards, so that a process started under overload does not keep
+   *   an inflated one
    */
   onAnswer(kind: string, durationMs: number, status: number, uncongested = true): void {
     const times = this.times(kind, durationMs);
