--- a/src/admission/adaptive-limiter.ts
+++ b/src/admission/adaptive-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * A limiter that follows its declared settings: when operators change the algorithm or the bounds,
- * a new limiter takes over from the present limit.
+ * A limiter configured by the concurrency settings of a service. A change of the algorithm or of the bounds creates a new
+ * limiter that starts from the current limit.
  */
 import type { RandomSource } from '../common/random.js';
 import type { ServiceSpec } from '../policy/resource-schema.js';
@@ -10,8 +10,12 @@
 
 type ConcurrencySpec = ServiceSpec['concurrency'];
 
-/** `adaptive` probes for the slots of the target; docs/design/admission.md weighs it against other ways. */
-function build(spec: ConcurrencySpec, initial: number, random: RandomSource): ConcurrencyLimiter {
+/** `adaptive` selects {@link ProbeLimiter}; docs/design/admission.md compares it with other algorithms. */
+function createLimiter(
+  spec: ConcurrencySpec,
+  initial: number,
+  random: RandomSource,
+): ConcurrencyLimiter {
   const bounds = { min: spec.min, max: spec.max, initial };
   return spec.algorithm === 'fixed' ? new FixedLimiter(bounds) : new ProbeLimiter(bounds, random);
 }
@@ -26,7 +30,7 @@
     private readonly random: RandomSource,
   ) {
     this.spec = spec;
-    this.current = build(spec, spec.initial, random);
+    this.current = createLimiter(spec, spec.initial, random);
   }
 
   get limit(): number {
@@ -38,16 +42,16 @@
   }
 
   /**
-   * Adopts changed settings; does nothing when they are the same. The first ones replace what the
-   * process started with before it knew any; after that, an adaptive limit goes on from where it is.
+   * Applies new settings; a no-op if they are unchanged. The first settings replace the defaults and reset the limit; later
+   * ones keep the current limit within the new bounds, unless the algorithm is `fixed`.
    */
   configure(spec: ConcurrencySpec): void {
     const isFirst = !this.isConfigured;
     this.isConfigured = true;
     if (JSON.stringify(spec) === JSON.stringify(this.spec)) return;
-    const startsOver = isFirst || spec.algorithm === 'fixed';
-    const initial = startsOver ? spec.initial : clampLimit(this.limit, spec);
+    const isReset = isFirst || spec.algorithm === 'fixed';
+    const initial = isReset ? spec.initial : clampLimit(this.limit, spec);
     this.spec = spec;
-    this.current = build(spec, initial, this.random);
+    this.current = createLimiter(spec, initial, this.random);
   }
 }
--- a/src/admission/congestion-level.ts
+++ b/src/admission/congestion-level.ts
@@ -1,38 +1,37 @@
 /**
- * Which part of the calls at one place is delayed or refused: a moving average that fades without calls.
- * Sidecars keep one of the calls that wait for their target and one of the calls that their target
- * makes. A target passes no context on, so its calls can't be tied to the ones it is working on: each
- * of its answers carries the level of all. Owns one average; relies on its callers for what counts as delayed. Pure.
+ * Exponential moving average of the fraction of calls that are delayed or refused, which decays while there are no calls.
+ * A sidecar keeps one for the calls that wait for its target and one for all downstream calls of the target: downstream
+ * calls carry no context that would tie them to a request, so each answer reports the level of all of them.
  */
 import type { Clock } from '../common/clock.js';
 
-/** Least weight of one call in the average: it follows some twenty calls. */
-const CALL_WEIGHT = 0.05;
-/** Where calls are rare each stands for the time since the one before, against this, in milliseconds. */
-const AVERAGE_MS = 400;
-/** Without calls for this long, what was learned fades, in milliseconds. */
-const SILENCE_MS = 300;
-/** Time constant of fading, in milliseconds: callers try again within a second or two. */
-const MEMORY_MS = 1_000;
+/** Minimum weight of one call in the average: covers about the last twenty calls. */
+const MIN_CALL_WEIGHT = 0.05;
+/** Time constant, in milliseconds, by which infrequent calls are weighted with the time since the previous call. */
+const AVERAGING_MS = 400;
+/** Time without calls before the level decays, in milliseconds. */
+const DECAY_DELAY_MS = 300;
+/** Time constant of the decay, in milliseconds; about the time after which callers retry. */
+const DECAY_MS = 1_000;
 
 export class CongestionLevel {
   private level = 0;
-  private learnedAt = 0;
+  private updatedAt = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** A call ended. @param congestion from 0, neither refused nor delayed, to 1, refused for overload or delayed */
+  /** Records a call. @param congestion 0 (neither refused nor delayed) to 1 (delayed, or refused for overload) */
   onCall(congestion: number): void {
     const before = this.current();
     const now = this.clock.now();
-    const weight = Math.max(CALL_WEIGHT, 1 - Math.exp((this.learnedAt - now) / AVERAGE_MS));
-    this.learnedAt = now;
+    const weight = Math.max(MIN_CALL_WEIGHT, 1 - Math.exp((this.updatedAt - now) / AVERAGING_MS));
+    this.updatedAt = now;
     this.level = before + weight * (congestion - before);
   }
 
-  /** The level now, from 0 to 1. */
+  /** The current level, 0 to 1. */
   current(): number {
-    const silentMs = this.clock.now() - this.learnedAt - SILENCE_MS;
-    return silentMs <= 0 ? this.level : this.level * Math.exp(-silentMs / MEMORY_MS);
+    const decayingMs = this.clock.now() - this.updatedAt - DECAY_DELAY_MS;
+    return decayingMs <= 0 ? this.level : this.level * Math.exp(-decayingMs / DECAY_MS);
   }
 }
--- a/src/admission/offered-pressure.ts
+++ b/src/admission/offered-pressure.ts
@@ -1,30 +1,27 @@
-/**
- * How much more is offered to a target than it lets in: two counts that fade with time. Pure. Decides with
- * `call/retry-after.ts` when a call that was not let in may come again.
- */
+/** Ratio of offered to admitted calls at a target, from two exponentially decaying counts. Sets the `Retry-After` of refusals. */
 
-/** Time constant with which the counts fade, in milliseconds. */
-const MEMORY_MS = 1_000;
+/** Time constant of the decay, in milliseconds. */
+const DECAY_MS = 1_000;
 
-export class OfferedPressure {
+export class DemandRatio {
   private offered = 0;
   private admitted = 0;
-  private fadedAt = 0;
+  private decayedAt = 0;
 
-  /** A call asked to be let in. @param now monotonic milliseconds */
+  /** Records a call that requested admission. @param now monotonic milliseconds */
   onOffered(now: number): void {
-    const kept = Math.exp((this.fadedAt - now) / MEMORY_MS);
-    this.fadedAt = now;
-    this.offered = this.offered * kept + 1;
-    this.admitted *= kept;
+    const decayFactor = Math.exp((this.decayedAt - now) / DECAY_MS);
+    this.decayedAt = now;
+    this.offered = this.offered * decayFactor + 1;
+    this.admitted *= decayFactor;
   }
 
-  /** A call was let in. */
+  /** Records an admitted call. */
   onAdmitted(): void {
     this.admitted += 1;
   }
 
-  /** Calls offered for each that was let in, as of the last call offered. */
+  /** Offered calls per admitted call, as of the last offered call. */
   current(): number {
     return this.offered / Math.max(1, this.admitted);
   }
