--- a/src/outbound/hedge-timer.ts
+++ b/src/outbound/hedge-timer.ts
@@ -1,28 +1,28 @@
 /**
- * Waits until the answer of an attempt is so late that the call is hedged. Owns the timer of one call; the rule for the
- * delay is {@link decideHedgeDelay}. Relies on the balancer's latencies of the traffic class.
+ * Timer that fires when an attempt of a call has taken so long that the call should be hedged. The delay comes from
+ * {@link decideHedgeDelay} and from the usual latency of the traffic class.
  */
 import type { Timer } from '../common/clock.js';
 import type { OutboundTransport } from '../call/transport.js';
 import { decideHedgeDelay } from '../retry/retry-policy.js';
-import type { OutboundRequest, OutboundServices } from './outbound-request.js';
+import type { OutboundRequest, OutboundDependencies } from './outbound-request.js';
 
 export class HedgeTimer {
   private timer: Timer | undefined;
 
-  /** @param onDue the answer is late */
+  /** @param onDue called when the delay is over */
   constructor(
     private readonly request: OutboundRequest,
-    private readonly services: OutboundServices,
+    private readonly dependencies: OutboundDependencies,
     private readonly transport: OutboundTransport,
     private readonly onDue: () => void,
   ) {}
 
-  /** Watches the attempt about to be sent in place of the one before, if it may be hedged. */
-  watchNext(): void {
+  /** Starts the delay anew for the attempt that is about to be sent, if that may be hedged. */
+  restart(): void {
     this.cancel();
     const { hedgeDelayFactor, repeatable, allowance, trafficClass, deadlineAt } = this.request;
-    const { balancer, clock } = this.services;
+    const { balancer, clock } = this.dependencies;
     const delayMs = decideHedgeDelay({
       delayFactor: hedgeDelayFactor,
       repeatable,
