--- a/src/ingress/client-waits.ts
+++ b/src/ingress/client-waits.ts
@@ -1,29 +1,27 @@
 /**
- * How long clients have waited in earlier attempts of their own. Nothing in a request says so, but a client that comes back
- * gives less time than it gave at first: first attempts of a route come again and again with the same few times, later ones
- * with what is left of them. Asked by the ingress for each request, so that gates can let those in first that can still be
- * answered within their objective.
+ * Estimates how long a client has already waited in earlier attempts of the same request, which requests do not carry.
+ * First attempts of a route use a few recurring timeouts; a retry has only the rest of one. Gates use the estimate to prefer
+ * requests that can still be answered within their objective.
  *
- * Owns the times that requests of each route often come with. Pure. Relies on clients that give the time which they will
- * wait; one that has a time of its own counts as having waited until it has come a few times.
+ * A client with an unusual timeout is taken for a retrying one until that timeout has occurred a few times.
  */
 import { BoundedMap } from '../common/bounded-map.js';
 
-/** Times told apart, in milliseconds: clients may reckon what is left anew for the same attempt. */
+/** Timeouts are rounded to multiples of this, in milliseconds, since clients may compute the time left with small errors. */
 const RESOLUTION_MS = 10;
-/** Times that are counted at once of a route: of any given by more than a ninth of the requests some are counted. */
+/** Distinct timeouts that are counted per route. Any timeout of more than a ninth of the requests is among them. */
 const MAX_TRACKED_TIMEOUTS = 8;
-/** Requests with the same time from which it counts as one that clients give at first. */
+/** Requests with the same timeout from which it counts as the timeout of first attempts. */
 const MIN_OCCURRENCES = 3;
-/** Requests of a route at which counts are halved, so that the times follow the clients. */
+/** Requests of a route at which its counts are halved, so that the estimate follows changes of the clients. */
 const HALVE_COUNTS_AT = 1_000;
-/** Routes that are remembered, a bound on memory; routes come and go with the configuration. */
+/** Routes that are kept, to bound memory. */
 const MAX_ROUTES = 1_000;
 
-/** The times of one route. */
+/** The timeouts of one route. */
 interface RouteTimeouts {
   requests: number;
-  /** Requests by the time that they came with, in units of the resolution. */
+  /** Requests by timeout, in units of {@link RESOLUTION_MS}. */
   readonly counts: Map<number, number>;
 }
 
@@ -31,9 +29,9 @@
   private readonly routes = new BoundedMap<RouteTimeouts>(MAX_ROUTES);
 
   /**
-   * Learns of a request.
-   * @param timeoutMs time for which the client will wait, in milliseconds; undefined where it does not say
-   * @returns milliseconds that the client has waited before; 0 for a first attempt, and where it can't be told
+   * Records a request and estimates the time spent on earlier attempts.
+   * @param timeoutMs timeout of the client in milliseconds; undefined if the request has none
+   * @returns milliseconds that the client has waited before; 0 for a first attempt, or if unknown
    */
   waitedMs(route: string, timeoutMs: number | undefined): number {
     if (timeoutMs === undefined) return 0;
@@ -62,7 +60,7 @@
   return Math.round(timeoutMs / RESOLUTION_MS);
 }
 
-/** Counts a value among the frequent ones (Misra and Gries): a new one that finds no place takes one off each of them. */
+/** Misra-Gries counter of frequent values: a new value that finds no free entry decrements all others. */
 function countFrequent(counts: Map<number, number>, value: number): void {
   const known = counts.get(value);
   if (known !== undefined || counts.size < MAX_TRACKED_TIMEOUTS) {
@@ -83,7 +81,7 @@
   }
 }
 
-/** The value that most requests came with; undefined where none has come often enough. */
+/** The most frequent value; undefined if none has at least {@link MIN_OCCURRENCES} requests. */
 function mostFrequent(counts: ReadonlyMap<number, number>): number | undefined {
   let frequent: number | undefined;
   let most = MIN_OCCURRENCES - 1;
--- a/src/ingress/group-access.ts
+++ b/src/ingress/group-access.ts
@@ -1,15 +1,11 @@
-/**
- * Rules 6 and 7 of an ingress: who a request belongs to, and whether it may run at all.
- *
- * Owns nothing; pure. Relies on the groups of the configuration in force, and on the age of its proof.
- */
+/** Rules 6 and 7 of an ingress: checks the API key of a request and determines the group of its caller. Pure. */
 import type { Group } from '../policy/group-table.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import type { Route } from '../policy/route-table.js';
 
-/** What is decided from the key of a request. */
+/** Result of checking the API key of a request. */
 export type AccessDecision =
-  /** @see Group; undefined where the request needs no key */
+  /** `group` is undefined if the request needs no key. */
   | { readonly type: 'granted'; readonly group: Group | undefined }
   | {
       readonly type: 'refused';
@@ -30,9 +26,9 @@
 };
 
 /**
- * Judges the key of a request.
- * @param isConfirmed whether the table is known to lack no change that was acknowledged long ago: a key may have been taken
- *   away, and one that is unknown may be new
+ * Checks the API key of a request.
+ * @param isConfirmed whether control has recently confirmed the table. Otherwise a known key may have been revoked, and an
+ *   unknown one may be new.
  */
 export function decideAccess(
   { groups }: PolicyTable,
--- a/src/ingress/ingress-context.ts
+++ b/src/ingress/ingress-context.ts
@@ -1,8 +1,6 @@
 /**
- * What a request may do once the ingress has let it begin: its deadline, its longest wait at a gate, its retries, and how it
- * is sent. For the ingress of a sidecar and the simulated one.
- *
- * Owns nothing; pure. Relies on the route's declared limits.
+ * Derives the limits of a request (deadline, longest wait at a gate, retries) and the options of its outgoing call from its
+ * route. Pure. Used by the ingress of a sidecar and by the simulated one.
  */
 import type { Group } from '../policy/group-table.js';
 import type { Route } from '../policy/route-table.js';
@@ -13,39 +11,38 @@
 /** Group of requests that need no key. */
 const DEFAULT_GROUP = 'default';
 /**
- * Part of its objective that a request may wait at a gate to be let in: longer, a refused one could not be sent again within
- * its objective; shorter, more are refused in a short surge.
+ * Fraction of its objective that a request may wait at a gate. With a longer wait a refused request could not be retried
+ * within its objective; with a shorter one more requests are refused in a burst.
  */
 const GATE_WAIT_FRACTION = 0.25;
 /**
- * An answer that takes this multiple of the traffic class's usual time is taken for lost, and a hedged request is sent: less
- * repeats slow answers, more finds a lost one too late. docs/rounds/order-mesh.md has the simulation without hedged requests,
- * in which no answer is lost.
+ * A hedged request is sent after this multiple of the usual latency of the traffic class. A smaller factor repeats requests
+ * that are merely slow; a larger one detects lost answers too late.
  */
 const HEDGE_DELAY_FACTOR = 6;
 /**
- * Targets that are tried after one has refused for overload: each costs the caller the time of a refusal, and finds a target
- * of unlike load. Worth nothing in the simulation of docs/rounds/order-mesh.md, where all targets are alike.
+ * Other targets that are tried after one has refused for overload. Each costs the caller the time of a refusal, and helps
+ * only if the targets differ in load.
  */
 const MAX_OVERLOAD_REROUTES = 1;
 
-/** What a request brings besides its route. */
+/** Properties of a request besides its route. */
 export interface IngressArrival {
   readonly requestId: string;
   readonly service: string;
-  /** Milliseconds that the client will wait; undefined where it does not say. */
+  /** Timeout of the client in milliseconds; undefined if the request has none. */
   readonly clientTimeoutMs: number | undefined;
   /** Monotonic milliseconds. */
   readonly arrivedAt: number;
-  /** How likely a repeated run has made the request, 0 to 1; 0 for those of clients. */
+  /** Probability that a repeated run made the request, 0 to 1; 0 for requests of clients. */
   readonly inheritedShare: number;
-  /** Time that the client has used up in earlier attempts of its own, in milliseconds. Default 0. */
+  /** Time that the client spent on earlier attempts, in milliseconds. Default: 0. */
   readonly clientWaitedMs?: number;
-  /** The group whose key the client presented; absent where none is needed. */
+  /** Group of the API key; absent if the route needs none. */
   readonly group?: Group | undefined;
 }
 
-/** The context of a request of `route`. */
+/** Creates the call context of a request of `route`. */
 export function ingressContext(route: Route, arrival: IngressArrival): CallContext {
   const { requestId, service, arrivedAt, inheritedShare } = arrival;
   const clientTimeoutMs = arrival.clientTimeoutMs ?? route.timeoutMs;
@@ -53,7 +50,7 @@
     requestId,
     group: arrival.group?.name ?? DEFAULT_GROUP,
     groupRank: arrival.group?.rank ?? 0,
-    // A gate knows calls by kinds: in a sidecar the route is the kind.
+    // Gates identify calls by their kind; in a sidecar that is the route.
     kind: headerSafeName(route.name),
     importance: route.importance,
     deadlineAt: arrivedAt + Math.min(clientTimeoutMs, route.timeoutMs),
@@ -67,8 +64,8 @@
 }
 
 /**
- * How a request is sent.
- * @param isNested whether targets make the calls of the route, as gates have said
+ * Creates the options of the outgoing call.
+ * @param isNested whether targets make the calls of the route, as reported by gates
  */
 export function ingressRequest(
   route: Route,
@@ -79,11 +76,11 @@
     trafficClass: `${route.name}/${context.service}`,
     repeatable: route.repeatable,
     deadlineAt: context.deadlineAt,
-    // Gates bound the repeats of their service.
+    // The gates limit the repeats at their service; the caller needs no retry budget.
     retryRatio: 0,
     allowance: new RetryAllowance(context.retries),
     overloadReroutes: MAX_OVERLOAD_REROUTES,
-    // A call of the target is not refused early: what its caller has done would be lost.
+    // A nested call is not refused early: the work that its caller has done would be lost.
     throttled: !isNested,
     hedgeDelayFactor: HEDGE_DELAY_FACTOR,
   };
--- a/src/ingress/ingress-exchange.ts
+++ b/src/ingress/ingress-exchange.ts
@@ -1,8 +1,6 @@
 /**
- * One request under way at the ingress: reads its body, makes its context, gets its permit, starts its call and tells the
- * client how it ended. Decides nothing: the rules are in `ingress-rules.ts`, in their order.
- *
- * Owns the call and the permit of the request. Relies on the outgoing call to write the answers of targets.
+ * One request in flight at the ingress: creates its context, reads its body, acquires its permit and starts its call, or
+ * refuses it. The decisions are made by `ingress-rules.ts`; the outgoing call writes the answers of targets.
  */
 import type { ClientWaits } from './client-waits.js';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -33,7 +31,7 @@
 import { abortedByStop, decideOnBody, decideOnSending, rateLimited } from './ingress-rules.js';
 import { learnFromResult, type ResultObservers } from './result-learning.js';
 
-/** What the exchanges of one ingress share. */
+/** Services and settings that the exchanges of one ingress share. */
 export interface IngressExchangeOptions extends ResultObservers {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -42,39 +40,38 @@
   readonly transport: PeerTransportOptions;
   readonly stats: CallStats;
   readonly bodyLimits: () => BodyLimits;
-  /** Once the process is stopping, answers close their connections. */
+  /** Progress of a planned stop. Once it has begun, responses close their connections. */
   readonly stop: StopProgress;
   readonly journal: RequestJournal;
-  /** How many of the target's runs are repeats, and so the calls that it makes. */
+  /** Runs of the target that are repeats; the calls that they make count as repeats downstream. */
   readonly repeatedRuns: RepeatedRuns;
-  /** Whether clients read fractions of a second in `Retry-After`; RFC 9110 knows whole ones only. */
+  /** Whether `Retry-After` may contain fractions of a second; RFC 9110 allows whole seconds only. */
   readonly fractionalRetryAfter: boolean;
-  /** Whether the request with this fingerprint is kept from targets. */
+  /** Whether the request with this fingerprint is quarantined. */
   readonly isQuarantined: (fingerprint: string) => boolean;
-  /** Bounds the requests of groups with a limit. */
+  /** Limits the requests of groups that have a rate. */
   readonly quota: IngressQuota;
 }
 
-/** A request whose route is known. */
+/** A request that passed the rules on its head. */
 export interface IngressRequest {
   readonly message: IncomingMessage;
   readonly response: ServerResponse;
   readonly route: Route;
-  /** The group whose key the client presented; undefined where none is needed. */
+  /** Group of the API key; undefined if the route needs none. */
   readonly group: Group | undefined;
-  /** Of the configuration that decided. */
+  /** Revision of the configuration that was applied. */
   readonly revision: number;
 }
 
-/** What the ingress learns from each of its requests. */
+/** Statistics by route, collected from the requests of the ingress. */
 export interface RouteStatistics {
-  /** How long requests of each route take. */
+  /** Durations of answered requests. */
   readonly durations: CallDurations;
-  /** How long clients have waited before. */
+  /** Timeouts of clients, to estimate how long they have waited before. */
   readonly clientWaits: ClientWaits;
 }
 
-/** See the module comment. */
 export class IngressExchange extends CallerExchange {
   private readonly startedAt: number;
   private readonly service: string;
@@ -104,12 +101,13 @@
     this.readBody(this.options.bodyLimits());
   }
 
+  /** Ends the request with a final answer because the process is about to exit. */
   endWithProcess(): void {
     if (this.call !== undefined) this.call.endWithProcess();
     else if (!this.response.headersSent) this.refuse(abortedByStop().refusal);
   }
 
-  /** What there is to say of the request now. */
+  /** Current state of the request, for log lines. */
   record(): IngressRecord {
     return {
       requestId: this.context.requestId,
@@ -123,13 +121,13 @@
   }
 
   protected override onBodyRefused(reason: BodyRefusalReason): void {
-    // The rest of the body would be read as the next request.
+    // Otherwise the rest of the body would be parsed as the next request.
     this.response.shouldKeepAlive = false;
     this.refuse(decideOnBody(reason).refusal);
   }
 
   protected override onBody(body: RequestBody): void {
-    // A request that was told that it has not run is not sent on when the rest of its body arrives.
+    // The request was already refused with verdict `not-run`, so it must not be sent any more.
     if (this.response.headersSent) return;
     const fingerprint = this.fingerprint(body);
     const { route, group } = this.request;
--- a/src/ingress/ingress-rules.ts
+++ b/src/ingress/ingress-rules.ts
@@ -1,26 +1,22 @@
 /**
- * The rules that an ingress asks about a request, in their order; read this file from top to bottom. The reason of a
- * refusal, which the log line shows as `outcome` and the metrics as `reason`, names the rule.
+ * The rules that an ingress applies to a request, in this order. The reason of a refusal names the rule; log lines show it
+ * as `outcome`, metrics as `reason`. Pure.
  *
- *  1. not-ready            {@link decideOnHead}   503  without a configuration nothing else can be looked up
- *  2. (no reason, no line) {@link decideOnHead}   431  the cheapest bound on what a client can make this process read
- *  3. unknown-kind         {@link decideOnHead}   404  the rules below need the route
- *  4. leaving              {@link decideOnHead}   503  a process that ends refuses before it spends more on a request
- *  5. overload             {@link decideOnHead}   503  bounds memory, so it stands before anything is kept of the request
- *  6. stale-configuration  {@link decideAccess}       503  a key is not judged by a configuration that may be old
- *  7. unknown-group        {@link decideAccess}       401  who calls is known before the body costs memory
- *     From here on the request counts as under way; the service that runs it is drawn from the route's backends.
- *  8. too-large            {@link decideOnBody}   413  read whole before anything is sent, so that a slow client holds no
- *     request-timeout      {@link decideOnBody}   408  slot of a target and the request can be sent again
- *  9. quarantined          {@link decideOnSending} 503 needs the body; before the quota, so that it uses up no permit
- * 10. rate-limited         {@link rateLimited}    429  last, since a permit counts as a request that may run
+ *  1. not-ready            {@link decideOnHead}    503  the other rules need a configuration
+ *  2. (no reason, no line) {@link decideOnHead}    431  the cheapest limit on what a client can make this process read
+ *  3. unknown-kind         {@link decideOnHead}    404  the following rules need the route
+ *  4. leaving              {@link decideOnHead}    503  a stopping process refuses before it does more work
+ *  5. overload             {@link decideOnHead}    503  bounds memory, so it comes before any state is kept for the request
+ *  6. stale-configuration  {@link decideAccess}    503  keys are not checked against a configuration that may be outdated
+ *  7. unknown-group        {@link decideAccess}    401  unauthorized requests are refused before their body uses memory
+ *     From here on the request counts as in flight, and its service is drawn from the backends of the route.
+ *  8. too-large            {@link decideOnBody}    413  the body is read before anything is sent, so that a slow client
+ *     request-timeout      {@link decideOnBody}    408  occupies no slot of a target and the request can be sent again
+ *  9. quarantined          {@link decideOnSending} 503  needs the body; before the quota, so that no permit is used
+ * 10. rate-limited         {@link rateLimited}     429  last, so that only requests that may run use a permit
  *
- * What is sent then meets the rules of the outgoing call (`outbound/outbound-call.ts`: throttle, choice of the target,
- * retries, hedged requests) and of the gate beside the target (`gate/inbound-call.ts`). A planned stop that ends before a
- * body has arrived refuses with {@link abortedByStop}.
- *
- * Owns nothing; pure. Relies on: `call/stop-policy.ts` for rule 4, `group-access.ts` for 6 and 7, the quarantine and the
- * quota for what they have decided, `call/retry-after.ts` for when the client is to come again.
+ * Requests that are sent are then subject to the rules of the outgoing call (`outbound/outbound-call.ts`) and of the gate
+ * (`gate/inbound-call.ts`). If a planned stop ends before the body has arrived, {@link abortedByStop} is the refusal.
  */
 import type { CallDurations } from '../call/call-durations.js';
 import type { Refusal, RefusalReason } from '../call/refusal.js';
@@ -42,64 +38,64 @@
 import type { NestedRoutes } from '../routing/nested-routes.js';
 import { decideAccess } from './group-access.js';
 
-/** Bytes of a header line besides name and value: colon, space, line end. */
+/** Bytes of a header line besides name and value: colon, space, CR and LF. */
 const HEADER_LINE_BYTES = 4;
 /**
- * Part of its objective that a request may wait for control to grant its group more. An answer of control takes some
- * milliseconds, and a request that is refused after the wait can still come again within its objective.
+ * Fraction of its objective that a request may wait for control to grant its group more requests. Short enough that a
+ * request refused after the wait can be retried within its objective.
  */
 const QUOTA_WAIT_FRACTION = 0.1;
 
-/** What the head of a request says. */
+/** Parts of the head of a request that the rules depend on. */
 export interface RequestHead {
   readonly host: string | undefined;
-  /** As on the request line, with its query. */
+  /** Request target, including the query. */
   readonly url: string;
-  /** Names and values alternating. */
+  /** Alternating names and values. */
   readonly rawHeaders: readonly string[];
   readonly apiKey: string | undefined;
 }
 
-/** What the rules on the head of a request ask about the process. */
+/** State of the process that the rules on the head of a request depend on. */
 export interface IngressState {
-  /** The configuration in force; undefined until a first one was received. */
+  /** The configuration in force; undefined until the first one is received. */
   readonly table: PolicyTable | undefined;
   readonly stop: StopProgress;
-  /** How long requests of each route have taken here. */
+  /** Durations of the latest requests by route. */
   readonly durations: CallDurations;
   readonly nestedRoutes: NestedRoutes;
-  /** Requests under way, and the most that may be. */
   readonly inFlight: number;
+  /** Maximum number of requests in flight. */
   readonly maxInFlight: number;
-  /** Milliseconds since control confirmed that no key of the table has been taken away; asked only once it counts. */
+  /** Milliseconds since control confirmed that no key of the table was revoked. */
   readonly proofAgeMs: () => number;
-  /** Longest such time with which requests with keys run, in milliseconds; Infinity where there is no bound. */
+  /** Largest value of `proofAgeMs` at which requests with keys are accepted; Infinity for no limit. */
   readonly maxProofAgeMs: number;
-  /** Spreads the times after which refused clients come again. */
+  /** Adds jitter to `Retry-After`, so that refused clients do not retry at the same time. */
   readonly random: RandomSource;
 }
 
-/** An early end of a request. */
+/** The request is refused. */
 export interface Refused {
   readonly type: 'refused';
   readonly refusal: Refusal;
 }
 
-/** What the head of a request decides. */
+/** Result of the rules on the head of a request. */
 export type HeadDecision =
   | {
       readonly type: 'begin';
       readonly route: Route;
-      /** The group whose key the client presented; undefined where none is needed. */
+      /** Group of the API key; undefined if the route needs none. */
       readonly group: Group | undefined;
-      /** Of the configuration that decided. */
+      /** Revision of the configuration that was applied. */
       readonly revision: number;
     }
-  /** Answered 431 with no body, log line or counter: the request id is among the headers that are not read. */
+  /** Answered with 431 and without body, log line or counter: the headers, including the request id, are not read. */
   | { readonly type: 'headers-too-large' }
   | Refused;
 
-/** Rules 1 to 7: asked when the head of a request has arrived. */
+/** Rules 1 to 7: applied when the head of a request has arrived. */
 export function decideOnHead(head: RequestHead, state: IngressState): HeadDecision {
   const { table, stop } = state;
   if (table === undefined) {
@@ -131,43 +127,42 @@
   return { type: 'begin', route, group: access.group, revision: table.revision };
 }
 
-/** Rule 8: the body was not read in full. Nothing of the request was sent on. */
+/** Rule 8: the body was not read in full. Nothing of the request was sent to a target. */
 export function decideOnBody(fault: BodyRefusalReason): Refused {
   return { type: 'refused', refusal: bodyNotTaken(fault) };
 }
 
-/** What is known of a request once its body has been read. */
+/** A request whose body has been read. */
 export interface ReadRequest {
   readonly route: Route;
   readonly group: Group | undefined;
-  /** Whether the quarantine keeps the request from targets. */
   readonly isQuarantined: boolean;
 }
 
-/** What is done with a request whose body has been read. */
+/** Result of the rules on a request whose body has been read. */
 export type SendingDecision =
   | { readonly type: 'send' }
-  /** A permit of the group is needed; {@link rateLimited} where none is had within the wait. */
+  /** Needs a permit of the group; refused with {@link rateLimited} if none is available within `maxWaitMs`. */
   | { readonly type: 'ask-quota'; readonly group: Group; readonly maxWaitMs: number }
   | Refused;
 
-/** Rules 9 and 10: asked when the body of a request has been read. */
+/** Rules 9 and 10: applied when the body of a request has been read. */
 export function decideOnSending({ route, group, isQuarantined }: ReadRequest): SendingDecision {
   if (isQuarantined) {
     return refused('quarantined', QUARANTINED_SECONDS, 'Targets crash under the request.');
   }
-  // Requests that need no key belong to no group, and nothing bounds their rate.
+  // Requests that need no key belong to no group and have no rate limit.
   if (group === undefined) return { type: 'send' };
   return { type: 'ask-quota', group, maxWaitMs: route.objectiveMs * QUOTA_WAIT_FRACTION };
 }
 
-/** Rule 10, where the wait has brought no permit. */
+/** Rule 10: no permit became available within the wait. */
 export function rateLimited(group: Group, quota: QuotaState): Refused {
   const detail = `Group '${group.name}' is at its rate. ${quota.description}`;
   return refused('rate-limited', quota.retryAfterSeconds, detail);
 }
 
-/** The last moment of a planned stop has come, and the request has not been sent. */
+/** A planned stop ended before the request was sent. */
 export function abortedByStop(): Refused {
   const detail = 'The process had to end before the request was read.';
   return refused('leaving', SOON_SECONDS, detail);
@@ -190,7 +185,7 @@
   return queryStart < 0 ? url : url.slice(0, queryStart);
 }
 
-/** Size of a request's header lines. */
+/** Size of the header lines, in bytes. */
 function headerBytes(rawHeaders: readonly string[]): number {
   let bytes = (rawHeaders.length / 2) * HEADER_LINE_BYTES;
   for (const part of rawHeaders) bytes += part.length;
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -1,9 +1,6 @@
 /**
- * The outbound side of a sidecar: takes requests of the clients and of the target on its machine, asks the rules of
- * `ingress-rules.ts` about their heads, and starts an exchange for each that may begin.
- *
- * Owns the exchanges under way and how long requests of each route take here. Relies on an HTTP server that hands it
- * requests, and on the parts that its options name.
+ * The outbound side of a sidecar: accepts requests of clients and of the target on its machine, applies the rules of
+ * `ingress-rules.ts` to their heads, and starts an {@link IngressExchange} for each accepted request.
  */
 import { ClientWaits } from './client-waits.js';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -23,19 +20,18 @@
 } from './ingress-exchange.js';
 import { decideOnHead, type HeadDecision } from './ingress-rules.js';
 
-/** What the ingress is made of. */
 export interface IngressServerOptions extends IngressExchangeOptions {
-  /** Most requests under way; more are refused to bound memory. */
+  /** Maximum number of requests in flight; further ones are refused to bound memory. */
   readonly maxInFlight: number;
-  /** The table in force; undefined until a first revision was received. */
+  /** The policy table in force; undefined until the first revision is received. */
   readonly table: () => PolicyTable | undefined;
-  /** Milliseconds since control confirmed that no key of the table has been taken away. */
+  /** Milliseconds since control confirmed that no key of the table was revoked. */
   readonly proofAgeMs: () => number;
-  /** Longest such time with which requests with keys run, in milliseconds; Infinity where there is no bound. */
+  /** Largest value of `proofAgeMs` at which requests with keys are accepted; Infinity for no limit. */
   readonly maxProofAgeMs: number;
 }
 
-/** Requests that are refused before they have a route are counted under this name. */
+/** Name under which requests without a known route are counted. */
 const UNMATCHED = 'unmatched';
 
 export class IngressServer {
@@ -45,12 +41,11 @@
 
   constructor(private readonly options: IngressServerOptions) {}
 
-  /** Requests that have begun and have not ended. */
+  /** Log records of the requests in flight. */
   recordsUnderWay(): IngressRecord[] {
     return [...this.activeExchanges].map((exchange) => exchange.record());
   }
 
-  /** Handles one request. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     response.sendDate = false;
     if (this.options.stop.phase !== StopPhase.Running) response.shouldKeepAlive = false;
@@ -69,7 +64,7 @@
     }
   };
 
-  /** The process is about to end: answers each request under way, truly, that it can't be waited for. */
+  /** Ends all requests in flight with a final answer because the process is about to exit. */
   endWithProcess(): void {
     for (const exchange of [...this.activeExchanges]) exchange.endWithProcess();
   }
--- a/src/ingress/result-learning.ts
+++ b/src/ingress/result-learning.ts
@@ -1,28 +1,26 @@
 /**
- * What an ingress learns from the result of a request, for the decisions on later ones: who makes the calls of the route,
- * and, where the target of this machine made the call, how congested the services below it are and whether they still take
- * repeats. The ingress of a sidecar and the simulated one share it.
- *
- * Owns nothing; relies on the gate's outcome, which the result carries. Pure but for the parts that it tells.
+ * Evaluates the result of a request for decisions on later ones: whether targets make the calls of its route and, if so, how
+ * congested the downstream services are and which repeats they accept. Used by the ingress of a sidecar and by the
+ * simulated one.
  */
 import type { CongestionLevel } from '../admission/congestion-level.js';
 import type { OutboundResult } from '../outbound/outbound-request.js';
 import type { ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { NestedRoutes } from '../routing/nested-routes.js';
 
-/** Who learns. */
+/** Receivers of the results of requests. */
 export interface ResultObservers {
-  /** Routes whose calls are made by targets, as gates have said. */
+  /** Routes whose calls are made by targets, as reported by gates. */
   readonly nestedRoutes: NestedRoutes;
-  /** Learns of calls of the target that are held up or refused. */
+  /** Congestion of the calls that the target makes. */
   readonly downstream: CongestionLevel;
-  /** Learns when a service that the target calls grants no repeats. */
+  /** Grants no repeats while a service that the target calls accepts none. */
   readonly retryBudget: ServiceRetryBudget;
 }
 
 /**
- * Tells the learners of a result. A broken answer tells nothing.
- * @returns whether it is now held otherwise than before who makes the calls of the route
+ * Records a result. Broken answers are ignored: they carry no report of a gate.
+ * @returns whether the route has changed between nested and not nested
  */
 export function learnFromResult(
   { nestedRoutes, downstream, retryBudget }: ResultObservers,
@@ -38,7 +36,7 @@
   return hasChanged;
 }
 
-/** How congested a call that the target of this machine made was below, 0 to 1. */
+/** Congestion that a call of the target met, 0 to 1; 1 if it was refused for overload or missed its deadline. */
 function congestionOf(result: Exclude<OutboundResult, { type: 'broken' }>): number {
   const isLost =
     result.type === 'refused' && (result.overloaded || result.refusal.reason === 'deadline');
--- a/src/retry/arrival-window.ts
+++ b/src/retry/arrival-window.ts
@@ -1,7 +1,4 @@
-/**
- * First arrivals and repeats at one gate over a sliding window of time. Owns the two counts; relies on times that do not go
- * back. Pure: the time is passed in.
- */
+/** Counts first arrivals and repeats at one gate over a sliding time window. The times passed in must not decrease. */
 import { SlidingCount } from '../common/sliding-count.js';
 import type { WindowCounts } from './repeat-room.js';
 
@@ -15,13 +12,16 @@
     this.repeats = new SlidingCount(windowMs);
   }
 
-  /** Counts arrivals: whole ones, or how likely one is a first arrival and a repeat. A negative count takes back. */
+  /**
+   * Adds arrivals. Fractions are the probabilities that one arrival is a first arrival or a repeat; a negative count removes
+   * arrivals that were added before.
+   */
   add(now: number, firsts: number, repeats: number): void {
     this.firsts.add(now, firsts);
     this.repeats.add(now, repeats);
   }
 
-  /** Arrivals in the window that ends now. */
+  /** Arrivals in the window that ends at `now`. */
   counts(now: number): WindowCounts {
     return { firsts: this.firsts.total(now), repeats: this.repeats.total(now) };
   }
--- a/src/retry/repeat-room.ts
+++ b/src/retry/repeat-room.ts
@@ -1,93 +1,89 @@
 /**
- * The rule by which a gate lets repeats through to its target: {@link decideAcceptedRepeats}. A repeat is an arrival after one
- * that may have been there already: a retry, a hedged request, or a call that a repeated run makes (the last can't be
- * refused without losing the run, so it is counted alone). retry-policy.ts decides the other side of it, whether a caller
- * sends a call again. docs/design/retries.md has the ways that lost.
+ * Decides which repeats a gate lets through to its target ({@link decideAcceptedRepeats}). A repeat is an arrival after one
+ * that may already have reached a target: a retry, a hedged request, or a call made by a repeated run. The last can't be
+ * refused without losing the run, so it is only counted. Pure.
  *
- * Pure. Relies on the counts of one gate (service-retry-budget.ts), which adds them up over a sliding window.
+ * Whether a caller sends a call again is decided by retry-policy.ts. The design is explained in docs/design/retries.md.
  */
 
-/** What the retry budget of a service has room for, as its gates tell their callers with each answer. */
+/** Repeats that the retry budget of a service allows. Gates report this to their callers with each answer. */
 export enum RepeatRoom {
-  /** For no repeat. */
+  /** No repeats. */
   None,
-  /** For calls to this service that are sent again, but not for more repeated runs above that make such calls again. */
+  /** Repeated calls to this service, but no further repeated runs upstream, which would make such calls again. */
   Calls,
-  /** For both. */
+  /** Both repeated calls and repeated runs upstream. */
   Runs,
 }
 
-/** What a service may see of repeats, over all its targets. */
+/** Limit on the repeats at a service, over all its targets. */
 export interface RetryBound {
-  /** Repeats for each first arrival, 0 to 1. */
+  /** Repeats allowed per first arrival, 0 to 1. */
   readonly ratio: number;
-  /** Repeats besides, in any window. */
+  /** Repeats allowed in addition, in any window. */
   readonly slack: number;
-  /** Time over which arrivals are counted, in milliseconds. */
+  /** Length of the window in milliseconds. */
   readonly windowMs: number;
 }
 
-/** Arrivals in the window that ends now; fractions stand for how likely an arrival is one. */
+/** Arrivals in the current window. Not always whole: an uncertain arrival counts with its probability. */
 export interface WindowCounts {
   readonly firsts: number;
   readonly repeats: number;
 }
 
-/** What a gate knows when a repeat asks to be let in. */
+/** State of a gate that the decision on a repeat depends on. */
 export interface GateState {
   readonly all: WindowCounts;
-  /** Those of clients' requests among them. */
+  /** Requests of clients among them. */
   readonly fromClients: WindowCounts;
-  /** Milliseconds since the gate began to count. */
+  /** Time for which the gate has counted arrivals, in milliseconds. */
   readonly trackedMs: number;
-  /** Gates of the service, this one included. */
+  /** Number of gates of the service, including this one. */
   readonly gates: number;
-  /** Whether its target has called another service within a window. */
+  /** Whether the target has called another service within the last window. */
   readonly hasDownstreamCalls: boolean;
-  /** Whether a service that its target calls has just said that it has no room for repeated runs. */
+  /** Whether a service that the target calls has recently reported that it accepts no repeated runs. */
   readonly isDownstreamFull: boolean;
 }
 
 /**
- * Part of the ratio that is used. The rest is for repeats under way when a service below has nothing left, and for a demand
- * that comes and goes: with 0.9 the bound was passed by up to 8% in 16 of 1,600 drawn demands (two gates, one of which
- * restarts), with 0.8 by 2% in one, with 0.75 in none of 2,000 (drawn as in test/retry/service-retry-budget.test.ts).
+ * Fraction of the ratio that is used. The rest covers repeats in flight when a downstream budget runs out, fluctuating
+ * demand and restarts of gates.
  */
 const USABLE_RATIO_FRACTION = 0.75;
 
-/** Part of the slack that is used, for the same reasons. */
+/** Fraction of the slack that is used, for the same reasons. */
 const USABLE_SLACK_FRACTION = 0.5;
 
 /**
- * Repeats kept back for requests of clients, for each of their first arrivals, and at most this part of the budget. One
- * repeat finishes such a request; of the calls that targets make, all of several have to succeed.
+ * Repeats reserved for client requests per first arrival of one, and at most this fraction of the budget. One repeat can
+ * complete a client request, while a run in a target needs all of its calls to succeed.
  */
 const CLIENT_RESERVE_FRACTION = 0.5;
 
 /**
- * Part of the budget up to which runs above may be repeated. Those that are under way when it is reached still add to it,
- * and calls to this service alone have the rest: with all of it for both, six services deep 289 repeats arrived where 244
- * were allowed, with half of it 300 graphs on five seeds kept the bound (drawn as in test/retry/arrivals-at-depth.test.ts).
+ * Fraction of the budget up to which repeated runs upstream are accepted. The rest is for repeated calls to this service,
+ * and for the calls of repeated runs that are in flight when the fraction is reached.
  */
 const REPEATED_RUNS_FRACTION = 0.5;
 
 /**
- * Part of the window for which no repeats are granted after a service below has said that it has no room for repeated runs:
- * longer than it takes to the next answer where calls are rare. Simulated chain of four services (docs/design/retries.md):
- * without it up to 1.24 of the allowed repeats arrive, with 0.01 up to 0.71, with 0.1 up to 0.61, with 0.5 up to 0.65.
+ * Fraction of the window during which no repeats are granted after a downstream service has reported that it accepts no
+ * repeated runs. Longer than the time until the next report where calls are rare.
  */
 export const DOWNSTREAM_FULL_FRACTION = 0.1;
 
 /**
- * Which repeats the gate lets through now.
- * @param isFromClient whether a client asks for one; false for a call that a target makes
+ * Decides which repeats the gate lets through now.
+ * @param isFromClient whether the repeat is a request of a client; false for a call made by a target
  */
 export function decideAcceptedRepeats(
   isFromClient: boolean,
   state: GateState,
   bound: RetryBound,
 ): RepeatRoom {
-  // Each repeated run here would cause repeats there, which can't be refused.
+  // A repeated run here would cause repeats downstream, which can't be refused there.
   if (state.isDownstreamFull) return RepeatRoom.None;
   const allowed = allowedRepeats(state, bound);
   const available = isFromClient ? allowed : allowed - reservedForClients(state, allowed);
@@ -96,13 +92,13 @@
   return wanted > REPEATED_RUNS_FRACTION * available ? RepeatRoom.Calls : RepeatRoom.Runs;
 }
 
-/** Repeats that the gate's part of the budget allows for the window that ends now. */
+/** Repeats that the gate's part of the budget allows in the current window. */
 export function allowedRepeats(state: GateState, bound: RetryBound): number {
   const { ratio, slack, windowMs } = bound;
   const allowed = USABLE_RATIO_FRACTION * ratio * state.all.firsts;
-  // Each service of a chain would add its slack to those below, which know of no first arrivals to pay for it.
+  // Otherwise the slack of each service of a chain would add up downstream, where no first arrivals cover it.
   if (state.hasDownstreamCalls) return allowed;
-  // Grows from nothing after a start: what an earlier process was granted may still be in the window.
+  // Ramps up from 0 after a start: repeats granted by an earlier process may still be in the window.
   const slackRamp = Math.min(1, state.trackedMs / windowMs);
   return allowed + (USABLE_SLACK_FRACTION * slack * slackRamp) / Math.max(1, state.gates);
 }
--- a/src/retry/repeated-runs.ts
+++ b/src/retry/repeated-runs.ts
@@ -1,24 +1,22 @@
 /**
- * Which runs in a target are repeats. A target passes no context on, so the calls that it makes can't be tied to
- * the runs that make them: each is taken for a repeat to the part that the runs of one kind have, of the kind
- * where that is highest, which bounds the true part from above. With one run in the target it is exact.
- *
- * Owns the runs that are in one target now; relies on the gate to end each run that it began.
+ * Tracks the runs in a target, to estimate how likely the calls that it makes come from a repeated run. Targets pass no
+ * context on, so a call can't be matched with its run. The estimate is the largest fraction of repeats among the runs of one
+ * kind: an upper bound, and exact while there is only one run.
  */
 
 interface KindRuns {
   running: number;
-  /** Sum of the shares of those runs. */
+  /** Sum of the repeat shares of these runs. */
   repeatShareSum: number;
 }
 
-/** Shares are rounded to this, so that sums of fractions end at 0. Below what a frame can say of a share (0.01). */
+/** Shares are rounded to multiples of this, so that rounding errors do not add up. Finer than a share in a frame (0.01). */
 const SHARE_PRECISION = 1e-6;
 
 export class RepeatedRuns {
   private readonly kinds = new Map<string, KindRuns>();
 
-  /** A run begins. @param repeatShare 1 for a repeat, or how likely a repeated run has made it */
+  /** A run begins. @param repeatShare 1 for a repeat, otherwise the probability that a repeated run made the call */
   onStart(kind: string, repeatShare: number): void {
     const runs = this.kinds.get(kind);
     if (runs === undefined) this.kinds.set(kind, { running: 1, repeatShareSum: repeatShare });
@@ -28,7 +26,7 @@
     }
   }
 
-  /** Ends what {@link onStart} began with the same values. */
+  /** A run ends. Takes the same arguments as its {@link onStart}. */
   onEnd(kind: string, repeatShare: number): void {
     const runs = this.kinds.get(kind);
     if (runs === undefined) return;
@@ -37,7 +35,7 @@
     if (runs.running === 0) this.kinds.delete(kind);
   }
 
-  /** How likely a call that the target makes now comes from a repeat, at most: 0 to 1. */
+  /** Upper bound on the probability that a call made by the target now comes from a repeated run, 0 to 1. */
   share(): number {
     let highest = 0;
     for (const { running, repeatShareSum } of this.kinds.values()) {
--- a/src/retry/retry-allowance.ts
+++ b/src/retry/retry-allowance.ts
@@ -1,36 +1,31 @@
 /**
- * The bound on retries for one request over its whole chain.
+ * Limits the retries of one request over its whole call chain (docs/design/retries.md).
  *
- * The edge or ingress mints one allowance for a request. Each call that a process makes lends what is left, but one, to the
- * callee and gets back what the callee did not spend. What a lost answer held counts as spent. So the number of retries
- * anywhere in the chain never exceeds what was minted, at any depth (docs/design/retries.md).
- *
- * Owns what is left for one request in one process. Relies on each loan being settled once the call is over.
+ * The edge or ingress creates the allowance of a request. Each call lends the remainder except one retry to the callee, and
+ * gets back what the callee did not spend; if the answer is lost, the whole loan counts as spent. So the retries of the
+ * chain never exceed the initial allowance, at any depth. Every loan must be settled when its call ends.
  */
 
-/**
- * Retries that a hop keeps for itself when it lends: with none, a lost answer takes the whole allowance with it and nobody
- * can retry. Simulated scenario failing-hops, 5 seeds, 15,700 requests: 182 failed with one, 284 with none.
- */
+/** Retries that a caller keeps when it lends. With 0, a lost answer would use up the whole allowance. */
 const RESERVED_RETRIES = 1;
 
 export class RetryAllowance {
-  /** @param remaining retries left, a whole number of at least 0 */
+  /** @param remaining retries left, a non-negative integer */
   constructor(private remaining: number) {}
 
-  /** Retries that could be spent now. */
+  /** Retries that can be spent now. */
   get available(): number {
     return this.remaining;
   }
 
-  /** Spends one retry. False when none is left. */
+  /** Spends one retry. @returns false if none is left */
   spend(): boolean {
     if (this.remaining <= 0) return false;
     this.remaining -= 1;
     return true;
   }
 
-  /** Ends the allowance: nothing can be spent or lent any more. @returns what was left */
+  /** Ends the allowance: no retries can be spent or lent afterwards. @returns the retries that were left */
   end(): number {
     const left = this.remaining;
     this.remaining = 0;
@@ -38,8 +33,8 @@
   }
 
   /**
-   * Lends the remainder but one to one call: the one kept is there if the answer is lost, and with it
-   * the loan. What is lent is not there for calls made in parallel, so nothing is spent twice.
+   * Lends the remainder to one call, except the retry that is kept in case the answer is lost. Parallel calls can't use what
+   * is lent, so no retry is spent twice.
    */
   lend(): RetryLoan {
     const amount = Math.max(0, this.remaining - RESERVED_RETRIES);
@@ -50,7 +45,7 @@
   }
 }
 
-/** An allowance on loan to one call. */
+/** Retries lent to one call. */
 export class RetryLoan {
   private settled = false;
 
@@ -60,8 +55,8 @@
   ) {}
 
   /**
-   * Ends the loan with what the callee reported as unspent. A callee cannot give back more than it
-   * was lent. Only the first settlement counts.
+   * Ends the loan and returns the retries that the callee reported as unspent, at most the amount lent. Invalid numbers
+   * count as 0. Only the first settlement has an effect.
    */
   settle(unspent: number): void {
     if (this.settled) return;
@@ -70,12 +65,12 @@
     if (valid) this.onReturn(Math.min(unspent, this.amount));
   }
 
-  /** Ends the loan when the answer was lost: everything counts as spent. */
+  /** Ends the loan of a call whose answer was lost: the whole amount counts as spent. */
   settleLost(): void {
     this.settle(0);
   }
 
-  /** Ends the loan when the callee never saw the call: nothing was spent. */
+  /** Ends the loan of a call that never reached the callee: nothing was spent. */
   settleUnused(): void {
     this.settle(this.amount);
   }
--- a/src/retry/retry-budget.ts
+++ b/src/retry/retry-budget.ts
@@ -1,39 +1,39 @@
 /**
- * Bounds the retries of one process at one service to a ratio of its first attempts. A token bucket: a first attempt adds
- * `ratio`, a retry or a hedged request takes 1. Owns the tokens; the rule that asks for them is retry-policy.ts.
+ * Limits the retries of one process to a service to a ratio of its first attempts. A token bucket: a first attempt adds
+ * `ratio` tokens, a retry or a hedged request takes one.
  *
- * For edges and nodes, whose callees let all repeats in. Callers of sidecars need none: gates bound what they let through
+ * Used by edges and nodes, whose callees accept all repeats. In sidecars the gates of the callees limit the repeats
  * (service-retry-budget.ts).
  */
 
-/** Most retries that are saved up for a burst, and those at the start of a process. */
+/** Default size of the bucket, which is also the initial number of tokens. */
 const DEFAULT_CAPACITY = 20;
 
-/** What a process asks before it sends a call again. */
+/** Limit on the retries of a process to one service. */
 export interface RetryCredit {
   /** Whether one retry can be spent now. */
   readonly hasRetry: boolean;
-  /** Credits a first attempt. @param ratio retries allowed per first attempt, 0 to 1 */
+  /** Counts a first attempt. @param ratio retries allowed per first attempt, 0 to 1 */
   onFirstAttempt(ratio: number): void;
-  /** Takes one retry. Only where {@link hasRetry}. */
+  /** Spends one retry. Must only be called if {@link hasRetry} is true. */
   spend(): void;
 }
 
-/** For callers whose callees bound the repeats that they let through. */
+/** No limit, for callers whose callees limit the repeats that they let through. */
 export const CALLEES_DECIDE: RetryCredit = {
   hasRetry: true,
   onFirstAttempt: () => {
-    // Callees count what arrives.
+    // Counted by the callees.
   },
   spend: () => {
-    // Callees count what arrives.
+    // Counted by the callees.
   },
 };
 
 export class RetryBudget implements RetryCredit {
   private tokens: number;
 
-  /** @param capacity most retries that can be saved up for a burst; also the initial credit */
+  /** @param capacity maximum number of tokens, and the initial number */
   constructor(private readonly capacity: number = DEFAULT_CAPACITY) {
     this.tokens = capacity;
   }
--- a/src/retry/retry-policy.ts
+++ b/src/retry/retry-policy.ts
@@ -1,44 +1,37 @@
 /**
- * The rule for sending a call again: after an attempt that failed ({@link decideNextStep}), and while an attempt takes
- * much longer than usual ({@link decideHedgeDelay}, then {@link decideHedge}). Pure: the caller passes in what it knows,
- * and carries out the decision.
+ * Decides whether a call is sent again: after a failed attempt ({@link decideNextStep}), and while an attempt takes much
+ * longer than usual ({@link decideHedgeDelay}, then {@link decideHedge}). Pure: the caller carries out the decision.
  *
- * Words: a *reroute* sends a call elsewhere that is known not to have arrived at any target, at no cost. A *retry* is the
- * caller's decision to send a call again that may have arrived, a *hedged request* the same while the first attempt is
- * still under way; both cost a retry. A *repeat* is what a target sees: an arrival after one that may have been there
- * already, be it of a retry, of a hedged request, or of a call that a repeated run makes.
- *
- * Relies on true verdicts of the gates, and on gates that refuse repeats beyond the budget of their service
- * (service-retry-budget.ts) where the caller has no budget of its own.
+ * - Reroute: sends a call to another target that is known not to have reached any. Costs no retry.
+ * - Retry: sends a call again that may have reached a target. Costs one retry.
+ * - Hedged request: sends a call again while the first attempt is still in flight. Costs one retry.
+ * - Repeat: an arrival at a target after one that may already have reached a target, caused by a retry, a hedged request or
+ *   a call of a repeated run. Where callers have no retry budget, gates limit repeats (service-retry-budget.ts).
  */
 import type { Verdict } from '../common/verdict.js';
 
-/**
- * Most reroutes of one call, other than after refusals for overload. Each costs a message and the time of its way; fewer
- * end calls while two targets of a service are stopping.
- */
+/** Maximum number of reroutes of one call, except after refusals for overload. Enough for two targets that are stopping. */
 export const MAX_REROUTES = 2;
 
-/** Least time left for another attempt, in milliseconds: one with less would only add load. */
+/** Minimum time left for another attempt, in milliseconds. With less time it would only add load. */
 export const MIN_RETRY_TIME_MS = 5;
 
 /**
- * Shortest hedge delay, in milliseconds: short latencies vary by large multiples, and hedging each of them would spend
- * the retry budget on answers that are about to come: in the simulation no answer is lost without its caller
- * being told.
+ * Minimum hedge delay, in milliseconds. Short latencies vary by large factors, so a shorter delay would spend retries on
+ * answers that are about to arrive.
  */
 export const MIN_HEDGE_DELAY_MS = 60;
 
 /**
- * Largest hedge delay as a part of the time left: a hedged request that starts later has too little time to be answered.
+ * Maximum hedge delay as a fraction of the time left. A hedged request that starts later has too little time to be answered.
  */
 export const MAX_HEDGE_DELAY_FRACTION = 0.7;
 
 /** Why a call is not sent again. */
 export enum GiveUpReason {
-  /** Targets crash under the request, or may: another one is not to get it. */
+  /** Targets crash, or may crash, while they handle the request, so no other target may get it. */
   Dangerous = 'dangerous',
-  /** Refused for overload by as many gates as it may ask, or not known not to have run. */
+  /** Refused for overload by as many gates as may be tried, or possibly run under overload. */
   Overload = 'overload',
   /** The request body can't be sent again from the start. */
   NotReplayable = 'not-replayable',
@@ -46,30 +39,30 @@
   NoTime = 'no-time',
   /** It was rerouted {@link MAX_REROUTES} times. */
   ReroutesUsed = 'reroutes-used',
-  /** It may have run, and may not run twice. */
+  /** It may have run and is not repeatable. */
   NotRepeatable = 'not-repeatable',
-  /** The request's allowance of retries is spent or lent. */
+  /** The retry allowance of the request is spent or lent. */
   NoAllowance = 'no-allowance',
-  /** The budget of this process for the service is spent. */
+  /** The retry budget of this process for the service is spent. */
   NoBudget = 'no-budget',
 }
 
-/** What is known of an attempt that did not bring an answer. */
+/** An attempt that was not answered by a target. */
 export interface FailedAttempt {
   readonly verdict: Verdict;
-  /** Whether the callee refused because of overload, of its own or downstream. */
+  /** Whether the callee refused because of overload, its own or downstream. */
   readonly overloaded: boolean;
-  /** Whether it arrived at a target, which turned it away. */
+  /** Whether it reached a target, which rejected it. */
   readonly rejectedByTarget: boolean;
-  /** Whether no other target may get it: targets crash under it, or may. */
+  /** Whether targets crash, or may crash, while they handle the request. */
   readonly isDangerous: boolean;
 }
 
-/** What a retry or a hedged request is paid from. */
+/** State of the two limits on retries and hedged requests. */
 export interface RetryFunds {
-  /** Retries left in the request's allowance. */
+  /** Retries left in the allowance of the request. */
   readonly retriesLeft: number;
-  /** Whether the budget of this process for the service has one left. */
+  /** Whether the budget of this process for the service has a retry left. */
   readonly hasBudget: boolean;
 }
 
@@ -78,9 +71,9 @@
   readonly repeatable: boolean;
   /** Whether the request body can be sent again from the start. */
   readonly replayable: boolean;
-  /** Times that the call was rerouted, for whatever reason. */
+  /** Reroutes so far, for any reason. */
   readonly reroutes: number;
-  /** Most reroutes after refusals for overload; each other reroute counts as well. */
+  /** Limit on `reroutes` after a refusal for overload. */
   readonly maxOverloadReroutes: number;
   /** Milliseconds left until the deadline. */
   readonly remainingMs: number;
@@ -88,16 +81,16 @@
 
 /** What follows a failed attempt. */
 export type NextStep =
-  /** Send it to another target at no cost. */
+  /** Send the call to another target without spending a retry. */
   | { readonly type: 'reroute' }
-  /** Send it to another target, at the cost of one retry of the allowance and of the budget. */
+  /** Send the call to another target and spend one retry of the allowance and of the budget. */
   | { readonly type: 'retry' }
-  /** Answer the caller now. */
+  /** Refuse the call. */
   | { readonly type: 'give-up'; readonly reason: GiveUpReason };
 
-/** The first line that applies decides. */
+/** Decides what follows a failed attempt. The first rule that applies wins. */
 export function decideNextStep(attempt: FailedAttempt, state: CallState): NextStep {
-  // A second target would crash, too: repeated at once, such requests took two targets within 0.1 s.
+  // Another target would crash, too.
   if (attempt.isDangerous) return giveUp(GiveUpReason.Dangerous);
   if (attempt.overloaded) return afterOverload(attempt, state);
   if (!state.replayable) return giveUp(GiveUpReason.NotReplayable);
@@ -109,31 +102,31 @@
   return state.repeatable ? retryIfAllowed(state) : giveUp(GiveUpReason.NotRepeatable);
 }
 
-/** What may have run under overload is not sent again: it would add to the load that delays it. */
+/** A call that may have run is not sent again under overload: that would add to the load. */
 function afterOverload(attempt: FailedAttempt, state: CallState): NextStep {
   if (attempt.verdict !== 'not-run') return giveUp(GiveUpReason.Overload);
   if (!state.replayable) return giveUp(GiveUpReason.NotReplayable);
   if (state.reroutes >= state.maxOverloadReroutes) return giveUp(GiveUpReason.Overload);
-  // Sent on at no cost, what targets turn away passes the service's budget: 2,929 repeats where 2,287 were allowed.
+  // Free reroutes of calls that reached a target would exceed the retry budget of the service.
   return attempt.rejectedByTarget ? retryIfAllowed(state) : REROUTE;
 }
 
 /** The state of the call that {@link decideHedgeDelay} depends on. */
 export interface HedgeDelayState {
-  /** Multiple of the usual latency after which an answer is taken for lost; undefined: never. */
+  /** Multiple of the usual latency after which a call is hedged; undefined: never. */
   readonly delayFactor: number | undefined;
   readonly repeatable: boolean;
   /** Whether the request body can be sent again from the start. */
   readonly replayable: boolean;
-  /** Retries left in the request's allowance. */
+  /** Retries left in the allowance of the request. */
   readonly retriesLeft: number;
-  /** Usual latency of the traffic class at the service, in milliseconds; undefined while it is not known. */
+  /** Usual latency of the traffic class at the service, in milliseconds; undefined if unknown. */
   readonly usualLatencyMs: number | undefined;
   /** Milliseconds left until the deadline. */
   readonly remainingMs: number;
 }
 
-/** @returns the time in milliseconds after which the attempt about to be sent is hedged; undefined: it is not */
+/** @returns the delay in milliseconds after which the next attempt is hedged; undefined if it is not hedged */
 export function decideHedgeDelay(state: HedgeDelayState): number | undefined {
   const { delayFactor, usualLatencyMs } = state;
   if (delayFactor === undefined || usualLatencyMs === undefined) return undefined;
@@ -144,22 +137,22 @@
 
 /** The state of the call that {@link decideHedge} depends on, once the hedge delay has passed. */
 export interface HedgeState extends RetryFunds {
-  /** Whether the gate of the other target would let a repeat through, as it said last. */
+  /** Whether the gate of the other target accepts repeats, according to its latest report. */
   readonly targetAcceptsRepeats: boolean;
 }
 
-/** Whether a second target is asked while the first attempt goes on. */
+/** Whether a hedged request is sent. */
 export type HedgeDecision =
   | { readonly type: 'hedge' }
-  /** Go on waiting for the first attempt alone. */
+  /** Keep waiting for the first attempt only. */
   | { readonly type: 'wait'; readonly reason: WaitReason };
 
-/** Why a call is not hedged though its answer is late. */
+/** Why a call whose hedge delay has passed is not hedged. */
 export type WaitReason =
-  /** The first attempt may still be answered; a hedged request that is refused costs a retry and brings nothing. */
+  /** A hedged request would be refused and waste a retry. */
   'target-refuses-repeats' | GiveUpReason.NoAllowance | GiveUpReason.NoBudget;
 
-/** The first line that applies decides. */
+/** Decides whether a hedged request is sent. The first rule that applies wins. */
 export function decideHedge(state: HedgeState): HedgeDecision {
   if (!state.targetAcceptsRepeats) return { type: 'wait', reason: 'target-refuses-repeats' };
   const exhausted = findExhaustedLimit(state);
--- a/src/retry/service-retry-budget.ts
+++ b/src/retry/service-retry-budget.ts
@@ -1,15 +1,10 @@
 /**
- * Bounds the repeats at a service, over all its callers. Each gate keeps its own part of the budget: it alone
- * sees all that arrives at its target, so the parts of a service's gates add up to the bound of the service
- * however many processes call it, start or stop. A repeat that the gate refuses has not reached a target.
+ * Limits the repeats at a service over all its callers. Each gate enforces its part of the limit on the arrivals at its
+ * target, so the limit holds however many processes call the service, start or stop. The rule is
+ * {@link decideAcceptedRepeats}; docs/design/retries.md explains the design.
  *
- * Counted as repeats are attempts after one that may have arrived, and first arrivals in so far as the run that
- * made them was itself a repeat. The latter can't be refused without losing that run, so they are taken from
- * the budget first; and a gate whose target calls a service that has nothing left grants no repeats either,
- * since each of them would cause more there. docs/design/retries.md compares this with shares of callers.
- *
- * Owns what arrived at one gate in the window. The rule is {@link decideAcceptedRepeats}. Relies on callers that tell a repeat
- * from a first arrival, and on the number of the service's gates.
+ * Attempts after one that may have arrived count as repeats, and first arrivals count partly, with the probability that a
+ * repeated run made them. The latter can't be refused without losing that run, so they use up the budget first.
  */
 import type { Clock } from '../common/clock.js';
 import { ArrivalWindow } from './arrival-window.js';
@@ -23,26 +18,25 @@
   type WindowCounts,
 } from './repeat-room.js';
 
-/** What the budget of one gate is made of. */
 export interface ServiceRetryBudgetOptions extends RetryBound {
   readonly clock: Clock;
-  /** Gates of the service, this one included; they share the slack. */
+  /** Number of gates of the service, including this one; they share the slack. */
   readonly gates: () => number;
 }
 
-/** What a gate has seen in the window that ends now. */
+/** Arrivals at a gate in the current window. */
 export interface ArrivalCounts extends WindowCounts {
-  /** Repeats that the gate's part of the budget allows for such a window. */
+  /** Repeats that the gate's part of the budget allows in the window. */
   readonly allowed: number;
 }
 
-/** Who made a call: calls of targets end with nothing if one of several fails, requests of clients stand alone. */
+/** Who made a call. Part of the budget is reserved for requests of clients. */
 export type ArrivalSource = 'clients' | 'targets';
 
 export class ServiceRetryBudget {
   private all: ArrivalWindow;
   private fromClients: ArrivalWindow;
-  /** Monotonic milliseconds, as the two below. */
+  /** Monotonic milliseconds, like the next two. */
   private startedAt: number;
   private downstreamFullUntil = -Infinity;
   private downstreamCallsUntil = -Infinity;
@@ -53,7 +47,7 @@
     this.startedAt = options.clock.now();
   }
 
-  /** Forgets all arrivals: the target is of another service now. */
+  /** Clears all counts, for a target that now belongs to another service. */
   reset(): void {
     const { clock, windowMs } = this.options;
     this.all = new ArrivalWindow(windowMs);
@@ -61,29 +55,29 @@
     this.startedAt = clock.now();
   }
 
-  /** A call arrives for the first time. @param inheritedShare how likely a repeated run has made it, 0 to 1 */
+  /** Counts a first arrival. @param inheritedShare probability that a repeated run made the call, 0 to 1 */
   onFirstArrival(source: ArrivalSource, inheritedShare: number): void {
     this.count(source, 1 - inheritedShare, inheritedShare);
   }
 
-  /** Counts a repeat that is about to arrive; false, and not counted, if nothing is left for it. */
+  /** Counts a repeat that is about to arrive. @returns false, without counting it, if the budget does not allow it */
   tryRepeat(source: ArrivalSource): boolean {
     if (this.room(source) === RepeatRoom.None) return false;
     this.count(source, 0, 1);
     return true;
   }
 
-  /** A repeat that was counted has not arrived after all. */
+  /** Removes a repeat that was counted but did not arrive. */
   giveBack(source: ArrivalSource): void {
     this.count(source, 0, -1);
   }
 
-  /** What repeats would be granted now. */
+  /** Which repeats would be granted now. */
   room(source: ArrivalSource): RepeatRoom {
     return decideAcceptedRepeats(source === 'clients', this.state(), this.options);
   }
 
-  /** The target has called another service, which has answered with the room that it has. */
+  /** The target called another service, which reported the repeats that it accepts. */
   onDownstreamCall(acceptedRepeats: RepeatRoom): void {
     const { clock, windowMs } = this.options;
     const now = clock.now();
@@ -92,7 +86,7 @@
       this.downstreamFullUntil = now + DOWNSTREAM_FULL_FRACTION * windowMs;
   }
 
-  /** First arrivals and repeats in the present window, for logs and metrics. */
+  /** First arrivals and repeats in the current window, for logs and metrics. */
   counts(): ArrivalCounts {
     const state = this.state();
     return { ...state.all, allowed: allowedRepeats(state, this.options) };
--- a/test/ingress/client-waits.test.ts
+++ b/test/ingress/client-waits.test.ts
@@ -1,8 +1,6 @@
 /**
- * Symptom: in an overload of a large fleet half of the answers of the least urgent kind were late. Sequence: its run takes
- * four fifths of its objective; a refused client comes back after a quarter of it, and is let in before clients that come
- * for the first time. Cause: a gate could not tell the one from the other. Requests in time 0.23 before, 0.28 after, in the
- * simulated overload of 195 sidecars.
+ * Guards against gates that, under overload, let in retries of clients that can no longer meet their objective before first
+ * attempts that can, because they can't tell the two apart.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -13,7 +11,7 @@
 const ROUTE = 'search';
 const FIRST_ATTEMPT_TIMEOUT_MS = 6_000;
 
-/** A route of which a few first attempts have come. */
+/** Creates an estimator that has recorded a few first attempts of the route. */
 function createTrained(): ClientWaits {
   const waits = new ClientWaits();
   for (let request = 0; request < 5; request += 1) waits.waitedMs(ROUTE, FIRST_ATTEMPT_TIMEOUT_MS);
--- a/test/ingress/ingress-order.test.ts
+++ b/test/ingress/ingress-order.test.ts
@@ -1,4 +1,4 @@
-/** Pins the order of the rules of an ingress, and what client, log and counters are told where one of them refuses. */
+/** Pins the order of the ingress rules, and the answer, log line and counter of each refusal. */
 import { expect } from 'chai';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -54,7 +54,7 @@
   spec: { keys: ['right'], rank: 0, ratePerSecond: 10, burst: 0 },
 } as Resource;
 
-/** Everything that may be wrong with a request and with the ingress that gets it. */
+/** Properties of a request and of the ingress that rules depend on. */
 interface RequestScenario {
   hasTable: boolean;
   padding: number;
@@ -155,7 +155,7 @@
     server.closeAllConnections();
   });
 
-  /** Everything is wrong at once. */
+  /** Starts with a request that violates every rule. */
   beforeEach(() => {
     situation = {
       hasTable: false,
@@ -311,7 +311,7 @@
   nested: undefined,
 };
 
-/** How often each reason was counted, by the name and the reason. */
+/** Number of refusals by counter name and reason. */
 function refusals({ kinds }: CallStats): Map<string, number> {
   const counts = new Map<string, number>();
   for (const [name, { refused }] of kinds) {
--- a/test/ingress/ingress-stop.test.ts
+++ b/test/ingress/ingress-stop.test.ts
@@ -25,7 +25,7 @@
 import { NestedRoutes } from '../../src/routing/nested-routes.js';
 import { WeightedSplit } from '../../src/routing/weighted-split.js';
 
-/** Many times what the rest of a body needs on loopback. */
+/** Ample time for the rest of a body to arrive over loopback. */
 const REST_OF_BODY_MS = 100;
 
 function route(name: string): Resource {
@@ -44,7 +44,7 @@
     const clock = new SystemClock();
     const random = new SeededRandom(1);
     const table = new PolicyTable(1, [route('client'), route('target')]);
-    // Takes every call, and says that no target can be reached.
+    // Refuses every call as if no target were available.
     const router = {
       call: (
         _service: string,
@@ -131,7 +131,7 @@
 
   it('does not send a request on that it has given up, when the rest of its body arrives', async () => {
     sent = [];
-    // It began before the stop, so its connection is kept after the answer.
+    // The request begins before the stop, so its connection is kept open after the answer.
     stop.phase = StopPhase.Running;
     const { port } = server.address() as AddressInfo;
     const client = connect({ host: '127.0.0.1', port });
@@ -157,7 +157,7 @@
   nested: undefined;
 }) => void;
 
-/** What an ingress knows after ten answers of gates that targets call `route`. */
+/** Nested routes after ten gate answers that report `route` as called by targets. */
 function createNestedRoutes(route: string): NestedRoutes {
   const routes = new NestedRoutes();
   for (let answer = 0; answer < 10; answer += 1) routes.onAnswer(route, true);
--- a/test/retry/arrivals-at-depth.test.ts
+++ b/test/retry/arrivals-at-depth.test.ts
@@ -1,12 +1,6 @@
 /**
- * Symptom: a service saw 2,929 arrivals beyond the first of each request in 10 s, for 11,150 requests, where a
- * fifth and 57 are allowed.
- * Sequence: targets turned calls away or lost answers; each process sent them again out of a share of its own,
- * and each repeated run made all of its calls again at the services below.
- * Cause: repeats were bounded for each process and hop alone. Shares add up over the hops, and what a repeated
- * run causes deeper down was counted nowhere.
- * Settled by: a call that a target turned away, was sent on and cut, and turned away by a third target, while the
- * caller's own share had been kept; here by the depth from which the sum breaks.
+ * Guards against repeats that exceed the budget of a service in deep call chains. Limits per process and hop are not enough:
+ * they add up over the hops, and the calls of repeated runs would not be counted at the services downstream.
  */
 import { expect } from 'chai';
 import { chainGraph, chainService } from '../../lab/simulator/sidecars/chain-graph.js';
@@ -17,7 +11,7 @@
 const BOUND = { ratio: 0.2, slack: 50, windowMs: 10_000 };
 const CALM = { durationMs: 10_000, factor: 1 };
 const FAULTY_MS = 15_000;
-/** The surge ends with the faults: the window is then held against fewer requests. */
+/** Demand drops when the faults end, so that the window contains fewer first arrivals. */
 const AFTER = { durationMs: 5_000, factor: 0.2 };
 const SEED = 7;
 
@@ -32,7 +26,7 @@
 const RANDOM_GRAPHS = 12;
 const RESTART_INTERVAL_MS = 700;
 const MAX_CALLS_PER_SECOND = 400;
-/** Enough for gates to learn in the calm at the beginning which routes targets call. */
+/** Enough for gates to detect nested routes during the initial phase without faults. */
 const MIN_REQUESTS_PER_SECOND = 30;
 
 function faultsOf(depth: number, faults: TargetFaults): Record<string, TargetFaults> {
--- a/test/retry/repeat-room.test.ts
+++ b/test/retry/repeat-room.test.ts
@@ -10,7 +10,7 @@
 const NOTHING = { firsts: 0, repeats: 0 };
 
 describe('the repeats that a gate lets through', () => {
-  /** 1,000 first arrivals of calls that targets make: 150 repeats, and 20 of the slack. */
+  /** 1,000 first arrivals of calls made by targets: 150 repeats allowed by the ratio, and 20 by the slack. */
   const BUSY: GateState = {
     all: { firsts: 1_000, repeats: 0 },
     fromClients: NOTHING,
--- a/test/retry/retry-allowance.test.ts
+++ b/test/retry/retry-allowance.test.ts
@@ -3,8 +3,8 @@
 import { RetryAllowance } from '../../src/retry/retry-allowance.js';
 
 /**
- * A chain in which every hop retries whenever it may and answers are lost at random.
- * @returns the retries made anywhere in the chain
+ * Simulates a chain in which every hop retries whenever allowed and answers are lost at random.
+ * @returns the number of retries in the whole chain
  */
 function runChain(allowance: RetryAllowance, depth: number, lost: () => boolean): number {
   let retries = -1;
--- a/test/retry/retry-policy.test.ts
+++ b/test/retry/retry-policy.test.ts
@@ -15,7 +15,7 @@
   type NextStep,
 } from '../../src/retry/retry-policy.js';
 
-/** What a case expects: `reroute`, `retry`, or why the call is given up. */
+/** Expected step: `reroute`, `retry`, or the reason for giving up. */
 type Expected = 'reroute' | 'retry' | GiveUpReason;
 
 function stepName(step: NextStep): Expected {
@@ -203,7 +203,7 @@
     usualLatencyMs: 20,
     remainingMs: 1_000,
   };
-  /** With this left the delay of 120 ms is just early enough. */
+  /** Least time left at which a hedge delay of 120 ms is allowed. */
   const MIN_REMAINING_MS = 120 / MAX_HEDGE_DELAY_FRACTION;
 
   const CASES: readonly {
--- a/test/retry/service-retry-budget.test.ts
+++ b/test/retry/service-retry-budget.test.ts
@@ -9,7 +9,7 @@
 const BOUND = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 const SERVICE = 'ledger';
 
-/** Spans in which gates see first arrivals and wishes for repeats at steady rates. */
+/** Periods with constant rates of first arrivals and attempted repeats. */
 const spans = fc.array(
   fc.record({
     durationMs: fc.integer({ min: 100, max: 8_000 }),
@@ -25,7 +25,7 @@
   return new ServiceRetryBudget({ clock, ...BOUND, gates: () => gates });
 }
 
-/** Lets time pass, and calls `happens` at a steady rate meanwhile. */
+/** Schedules `action` at a constant rate for `durationMs`. */
 function scheduleAtRate(
   clock: VirtualClock,
   durationMs: number,
@@ -66,7 +66,7 @@
     );
   });
 
-  /** A gate after ten seconds with 100 first arrivals a second. */
+  /** A gate after ten seconds with 100 first arrivals per second. */
   function busyGate(inheritedShare: number): { clock: VirtualClock; budget: ServiceRetryBudget } {
     const clock = new VirtualClock();
     const budget = createBudget(clock);
