--- a/src/consensus/applied-log.ts
+++ b/src/consensus/applied-log.ts
@@ -31,7 +31,7 @@
   }
 
   /** Calls back once the entry at `index` of `term` is applied. */
-  expect(index: number, term: number, callback: ProposalCallback): void {
+  trackProposal(index: number, term: number, callback: ProposalCallback): void {
     this.proposals.set(index, { term, callback });
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Takes over the state of a snapshot that came from the leader. */
-  install(snapshot: Snapshot): void {
+  installSnapshot(snapshot: Snapshot): void {
     this.state.commitIndex = snapshot.index;
     this.appliedIndex = snapshot.index;
     this.snapshotIndex = snapshot.index;
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -13,7 +13,7 @@
 export class Election {
   private timer: Timer | undefined;
   /** Timeouts in a row without a leader. */
-  private lonelyTimeouts = 0;
+  private timeoutsWithoutLeader = 0;
   private votes = new Set<string>();
 
   constructor(
@@ -37,12 +37,12 @@
     const { state } = this;
     const isUpToDate = state.log.isUpToDate(request.lastIndex, request.lastTerm);
     if (request.preVote) {
-      const granted = request.term > state.term && isUpToDate && !this.hasLeader();
+      const granted = request.term > state.term && isUpToDate && !this.hasRecentLeader();
       this.respond(request, granted);
       return;
     }
-    const isFree = state.votedFor === '' || state.votedFor === request.from.identity;
-    if (request.term < state.term || !isFree || !isUpToDate) {
+    const canVote = state.votedFor === '' || state.votedFor === request.from.identity;
+    if (request.term < state.term || !canVote || !isUpToDate) {
       this.respond(request, false);
       return;
     }
@@ -72,26 +72,26 @@
   }
 
   private onTimeout(): void {
-    if (!this.state.active) return;
+    if (!this.state.isActive) return;
     this.resetTimer();
     if (this.state.role === 'leader') {
-      this.lonelyTimeouts = 0;
+      this.timeoutsWithoutLeader = 0;
       return;
     }
     this.state.leader = undefined;
-    this.lonelyTimeouts += 1;
-    const mayBeRemoved = this.lonelyTimeouts > TIMEOUTS_BEFORE_REJOIN;
-    if (!this.state.isMember || mayBeRemoved) this.askToJoin();
+    this.timeoutsWithoutLeader += 1;
+    const mayBeRemoved = this.timeoutsWithoutLeader > TIMEOUTS_BEFORE_REJOIN;
+    if (!this.state.isMember || mayBeRemoved) this.sendJoinRequests();
     if (this.state.isVoter) this.stand();
   }
 
   /** A leader was heard. */
-  onLeader(): void {
-    this.lonelyTimeouts = 0;
+  onLeaderMessage(): void {
+    this.timeoutsWithoutLeader = 0;
     this.resetTimer();
   }
 
-  private askToJoin(): void {
+  private sendJoinRequests(): void {
     const { state } = this;
     const { self: from, term } = state;
     const origins = new Set([...state.options.contacts, ...state.peers.map((peer) => peer.origin)]);
@@ -102,7 +102,7 @@
 
   /** Asks first whether the others would elect this replica: one that was cut off raises no term when it returns. */
   protected stand(): void {
-    this.askForVotes('pre-candidate');
+    this.requestVotes('pre-candidate');
   }
 
   protected becomeCandidate(): void {
@@ -113,11 +113,11 @@
     state.leader = undefined;
     const { term } = state;
     state.saveHardState(() => {
-      if (state.term === term && state.role === 'candidate') this.askForVotes('candidate');
+      if (state.term === term && state.role === 'candidate') this.requestVotes('candidate');
     });
   }
 
-  private askForVotes(role: 'pre-candidate' | 'candidate'): void {
+  private requestVotes(role: 'pre-candidate' | 'candidate'): void {
     const { state } = this;
     state.role = role;
     this.votes = new Set([state.identity]);
@@ -146,10 +146,10 @@
   }
 
   /** Whether this replica leads, or heard from a leader within an election timeout. */
-  private hasLeader(): boolean {
+  private hasRecentLeader(): boolean {
     const { state } = this;
-    const silentMs = state.now - state.heardFromLeaderAt;
-    return state.role === 'leader' || silentMs < state.options.electionTimeoutMs;
+    const sinceLeaderMessageMs = state.now - state.lastLeaderMessageAt;
+    return state.role === 'leader' || sinceLeaderMessageMs < state.options.electionTimeoutMs;
   }
 
   private respond(request: VoteRequest, granted: boolean): void {
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -17,7 +17,7 @@
 /** Heartbeats in an election timeout: four may be lost before a replica stands for election. */
 const HEARTBEATS_PER_TIMEOUT = 5;
 /** A voter is silent after this many election timeouts without an answer: longer than an election. */
-const SILENT_TIMEOUTS = 3;
+const UNRESPONSIVE_TIMEOUTS = 3;
 
 export class Leadership {
   private readonly peers: PeerReplication;
@@ -31,7 +31,7 @@
     private readonly reads: PendingReads,
   ) {
     this.peers = new PeerReplication(state);
-    state.onStepDown(() => this.end());
+    state.onStepDown(() => this.endLeadership());
   }
 
   /** See `RaftStatus.confirmedAt`. */
@@ -40,7 +40,7 @@
   }
 
   /** This replica was elected. */
-  begin(): void {
+  becomeLeader(): void {
     const { state } = this;
     state.role = 'leader';
     state.leader = state.self;
@@ -50,7 +50,7 @@
   }
 
   /** Stops leading; the most up-to-date voter is asked to take over at once. */
-  resign(): void {
+  transferLeadership(): void {
     const { state } = this;
     const [successor] = state.log.replicas.voters
       .filter((voter) => voter.identity !== state.identity)
@@ -64,7 +64,7 @@
   append(payload: EntryPayload, callback?: ProposalCallback): void {
     const { state } = this;
     const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, payload };
-    if (callback !== undefined) this.applied.expect(entry.index, entry.term, callback);
+    if (callback !== undefined) this.applied.trackProposal(entry.index, entry.term, callback);
     state.log.merge([entry]);
     state.writeEntries([entry], () => this.advanceCommit());
     this.peers.sendToAll();
@@ -115,7 +115,7 @@
     this.confirmReads();
   }
 
-  private end(): void {
+  private endLeadership(): void {
     this.timer?.cancel();
     this.peers.clear();
     this.confirmedSince = undefined;
@@ -124,7 +124,7 @@
   }
 
   private matchIndexOf({ identity }: Replica): number {
-    return this.peers.of(identity).matchIndex;
+    return this.peers.progressOf(identity).matchIndex;
   }
 
   /**
@@ -139,7 +139,7 @@
 
   private heartbeat(): void {
     const { state } = this;
-    if (!state.active || state.role !== 'leader') return;
+    if (!state.isActive || state.role !== 'leader') return;
     if (!this.hasQuorum()) {
       state.stepDown();
       return;
@@ -157,7 +157,8 @@
     const { state } = this;
     const since = state.now - state.options.electionTimeoutMs;
     const answered = state.log.replicas.voters.filter(
-      ({ identity }) => identity === state.identity || this.peers.of(identity).heardAt >= since,
+      ({ identity }) =>
+        identity === state.identity || this.peers.progressOf(identity).lastResponseAt >= since,
     );
     return isMajority(answered.length, state.log.replicas);
   }
@@ -167,7 +168,7 @@
     const { state } = this;
     if (state.role !== 'leader') return;
     const index = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? state.syncedIndex : this.peers.of(identity).matchIndex,
+      identity === state.identity ? state.syncedIndex : this.peers.progressOf(identity).matchIndex,
     );
     if (index <= state.commitIndex || state.log.termAt(index) !== state.term) return;
     this.applied.commitUpTo(index);
@@ -193,7 +194,9 @@
   private confirmReads(): void {
     const { state } = this;
     const confirmedRound = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? this.peers.round : this.peers.of(identity).answeredRound,
+      identity === state.identity
+        ? this.peers.round
+        : this.peers.progressOf(identity).answeredRound,
     );
     this.reads.onConfirmed(confirmedRound);
   }
@@ -201,26 +204,27 @@
   /** A set may be changed once the last change, and an entry of this term, are committed. */
   private mayChangeReplicas(): boolean {
     const { state } = this;
-    const isSettled = state.log.replicasIndex <= state.commitIndex;
-    return state.role === 'leader' && state.hasCommittedInTerm && isSettled;
+    const isLastChangeCommitted = state.log.replicasIndex <= state.commitIndex;
+    return state.role === 'leader' && state.hasCommittedInTerm && isLastChangeCommitted;
   }
 
   private changeReplicas(): void {
     if (!this.mayChangeReplicas()) return;
     const { state } = this;
-    const silentMs = SILENT_TIMEOUTS * state.options.electionTimeoutMs;
+    const unresponsiveMs = UNRESPONSIVE_TIMEOUTS * state.options.electionTimeoutMs;
     const next = nextReplicaChange(state.log.replicas, {
       hasCaughtUp: (identity) => this.hasCaughtUp(identity),
-      isSilent: (identity) =>
-        identity !== state.identity && state.now - this.peers.of(identity).heardAt > silentMs,
-      voterTarget: state.options.voterTarget ?? Infinity,
+      isUnresponsive: (identity) =>
+        identity !== state.identity &&
+        state.now - this.peers.progressOf(identity).lastResponseAt > unresponsiveMs,
+      maxVoters: state.options.maxVoters ?? Infinity,
     });
     if (next !== undefined) this.appendReplicas(next);
   }
 
   /** Whether the replica has everything that is committed on its disk: a voter without it could not be counted on. */
   protected hasCaughtUp(identity: string): boolean {
-    return this.peers.of(identity).matchIndex >= this.state.commitIndex;
+    return this.peers.progressOf(identity).matchIndex >= this.state.commitIndex;
   }
 
   private appendReplicas(replicas: ReplicaSet): void {
--- a/src/consensus/log-receiver.ts
+++ b/src/consensus/log-receiver.ts
@@ -53,9 +53,9 @@
       state.writeEntries([], respond);
       return;
     }
-    state.log.install(snapshot);
+    state.log.installSnapshot(snapshot);
     state.syncedIndex = state.log.lastIndex;
-    this.applied.install(snapshot);
+    this.applied.installSnapshot(snapshot);
     state.options.storage.saveSnapshot(snapshot, (error) => state.afterWrite(error, respond));
   }
 
@@ -63,8 +63,8 @@
     const { state } = this;
     if (state.role !== 'follower') state.stepDown();
     state.leader = leader;
-    state.heardFromLeaderAt = state.now;
-    this.election.onLeader();
+    state.lastLeaderMessageAt = state.now;
+    this.election.onLeaderMessage();
   }
 
   private respond(
--- a/src/consensus/peer-progress.ts
+++ b/src/consensus/peer-progress.ts
@@ -10,7 +10,7 @@
   /** Highest heartbeat round that the replica has answered. */
   answeredRound: number;
   /** Monotonic milliseconds of its last answer. */
-  heardAt: number;
+  lastResponseAt: number;
   /** Monotonic milliseconds at which a snapshot was last sent. */
   snapshotSentAt: number;
 }
--- a/src/consensus/peer-replication.ts
+++ b/src/consensus/peer-replication.ts
@@ -33,14 +33,14 @@
   }
 
   /** The progress of a peer; one that is new counts as having answered now. */
-  of(identity: string): PeerProgress {
+  progressOf(identity: string): PeerProgress {
     let progress = this.progress.get(identity);
     if (progress === undefined) {
       progress = {
         nextIndex: this.state.log.lastIndex + 1,
         matchIndex: 0,
         answeredRound: 0,
-        heardAt: this.state.now,
+        lastResponseAt: this.state.now,
         snapshotSentAt: -Infinity,
       };
       this.progress.set(identity, progress);
@@ -63,8 +63,8 @@
 
   /** Records what a peer answered. @returns its progress */
   onResponse(response: AppendResponse): PeerProgress {
-    const progress = this.of(response.from.identity);
-    progress.heardAt = this.state.now;
+    const progress = this.progressOf(response.from.identity);
+    progress.lastResponseAt = this.state.now;
     progress.answeredRound = Math.max(progress.answeredRound, response.round);
     if (!response.success) {
       progress.nextIndex = Math.max(1, Math.min(progress.nextIndex - 1, response.matchIndex + 1));
@@ -77,7 +77,7 @@
 
   private sendEntries(peer: Replica): void {
     const { state } = this;
-    const { nextIndex } = this.of(peer.identity);
+    const { nextIndex } = this.progressOf(peer.identity);
     const previousIndex = nextIndex - 1;
     const previousTerm = state.log.termAt(previousIndex);
     if (previousTerm === undefined) {
@@ -100,7 +100,7 @@
   private sendSnapshot(peer: Replica): void {
     const { state, round } = this;
     const { snapshot } = state.log;
-    const progress = this.of(peer.identity);
+    const progress = this.progressOf(peer.identity);
     const waitMs = state.options.electionTimeoutMs / 2;
     if (snapshot === undefined || state.now - progress.snapshotSentAt < waitMs) return;
     progress.snapshotSentAt = state.now;
--- a/src/consensus/raft-log.ts
+++ b/src/consensus/raft-log.ts
@@ -5,7 +5,7 @@
 import type { LogEntry, ReplicaSet, Snapshot } from '../storage/persisted-state.js';
 
 /** Entries kept behind a snapshot, so that a replica that is a little behind needs no snapshot. */
-const KEPT_ENTRIES = 500;
+const CATCH_UP_ENTRIES = 500;
 
 const NO_REPLICAS: ReplicaSet = { voters: [], learners: [] };
 
@@ -103,7 +103,7 @@
   /** Records a snapshot of this replica's own state and drops old entries. */
   compact(snapshot: Snapshot): void {
     this.latestSnapshot = snapshot;
-    const newBase = Math.max(this.baseIndex, snapshot.index - KEPT_ENTRIES);
+    const newBase = Math.max(this.baseIndex, snapshot.index - CATCH_UP_ENTRIES);
     if (newBase === this.baseIndex) return;
     const term = this.termAt(newBase)!;
     const replicas = this.replicasAt(newBase);
@@ -114,7 +114,7 @@
   }
 
   /** Replaces the log by a received snapshot, keeping entries that follow on it. */
-  install(snapshot: Snapshot): void {
+  installSnapshot(snapshot: Snapshot): void {
     const matches = this.termAt(snapshot.index) === snapshot.term;
     const kept = matches ? this.entriesFrom(snapshot.index + 1, Infinity) : [];
     this.adoptSnapshot(snapshot);
--- a/src/consensus/raft-node.ts
+++ b/src/consensus/raft-node.ts
@@ -34,7 +34,7 @@
   private readonly leadership: Leadership;
   private readonly receiver: LogReceiver;
   private readonly reads = new PendingReads();
-  private readonly remoteReads = new Map<number, ReadCallback>();
+  private readonly forwardedReads = new Map<number, ReadCallback>();
   private nextReadId = 1;
 
   /** @param parts replaced in the simulator alone, to show what one safeguard in them is for */
@@ -42,7 +42,7 @@
     this.state = new RaftState(options, persisted);
     this.applied = new AppliedLog(this.state, (index) => this.reads.onApplied(index));
     this.leadership = new parts.Leadership(this.state, this.applied, this.reads);
-    this.election = new parts.Election(this.state, () => this.leadership.begin());
+    this.election = new parts.Election(this.state, () => this.leadership.becomeLeader());
     this.receiver = new LogReceiver(this.state, this.applied, this.election);
   }
 
@@ -53,7 +53,7 @@
 
   /** Takes no further part. A leader hands over; proposals under way end as unknown. */
   stop(): void {
-    if (this.state.role === 'leader') this.leadership.resign();
+    if (this.state.role === 'leader') this.leadership.transferLeadership();
     this.state.stopped = true;
     this.election.stop();
   }
@@ -97,25 +97,25 @@
       this.leadership.confirmRead((index) => this.onReadIndex(index, callback));
       return;
     }
-    if (state.leader === undefined || !state.active) {
+    if (state.leader === undefined || !state.isActive) {
       callback(false);
       return;
     }
     const readId = this.nextReadId;
     this.nextReadId += 1;
-    this.remoteReads.set(readId, callback);
+    this.forwardedReads.set(readId, callback);
     const { self: from, term } = state;
     state.send(state.leader, { type: 'read-request', from, term, readId });
     state.options.clock.schedule(state.options.electionTimeoutMs, () => {
-      if (this.remoteReads.delete(readId)) callback(false);
+      if (this.forwardedReads.delete(readId)) callback(false);
     });
   }
 
   /** Handles a message from another replica. */
   receive(message: RaftMessage): void {
-    if (!this.state.active) return;
+    if (!this.state.isActive) return;
     const isNewer = message.term > this.state.term;
-    if (isNewer && !isTentative(message)) this.state.adoptTerm(message.term);
+    if (isNewer && !carriesPreVoteTerm(message)) this.state.adoptTerm(message.term);
     switch (message.type) {
       case 'vote-request':
         this.election.onVoteRequest(message);
@@ -169,9 +169,9 @@
   }
 
   private onReadResponse(response: ReadResponse): void {
-    const callback = this.remoteReads.get(response.readId);
+    const callback = this.forwardedReads.get(response.readId);
     if (callback === undefined) return;
-    this.remoteReads.delete(response.readId);
+    this.forwardedReads.delete(response.readId);
     this.onReadIndex(response.readIndex, callback);
   }
 
@@ -186,7 +186,7 @@
 }
 
 /** Messages whose term says nothing about the sender's own. */
-function isTentative(message: RaftMessage): boolean {
+function carriesPreVoteTerm(message: RaftMessage): boolean {
   if (message.type === 'vote-request') return message.preVote;
   return message.type === 'vote-response' && message.preVote && message.granted;
 }
--- a/src/consensus/raft-options.ts
+++ b/src/consensus/raft-options.ts
@@ -27,7 +27,7 @@
    * Most voters of the set. A learner beyond them stands by, and takes the place of a voter that has
    * fallen silent. Default: no bound.
    */
-  readonly voterTarget?: number | undefined;
+  readonly maxVoters?: number | undefined;
   /** A write or sync failed: this replica takes no further part. */
   readonly onStorageFailure: (error: Error) => void;
 }
--- a/src/consensus/raft-state.ts
+++ b/src/consensus/raft-state.ts
@@ -19,7 +19,7 @@
   /** Last index that is synced on this replica's own disk. */
   syncedIndex: number;
   /** Monotonic milliseconds of the leader's last message. */
-  heardFromLeaderAt = -Infinity;
+  lastLeaderMessageAt = -Infinity;
   failed = false;
   stopped = false;
   private readonly stepDownListeners: (() => void)[] = [];
@@ -48,7 +48,7 @@
   }
 
   /** Whether this replica still takes part. */
-  get active(): boolean {
+  get isActive(): boolean {
     return !this.failed && !this.stopped;
   }
 
@@ -72,7 +72,7 @@
   }
 
   send(to: MessageTarget, message: RaftMessage): void {
-    if (this.active) this.options.transport.send(to, message);
+    if (this.isActive) this.options.transport.send(to, message);
   }
 
   /** Runs `listener` whenever this replica stops leading. */
@@ -82,10 +82,10 @@
 
   /** Becomes a follower of no known leader. */
   stepDown(): void {
-    const led = this.role === 'leader';
+    const wasLeader = this.role === 'leader';
     this.role = 'follower';
     this.leader = undefined;
-    if (led) for (const listener of this.stepDownListeners) listener();
+    if (wasLeader) for (const listener of this.stepDownListeners) listener();
   }
 
   adoptTerm(term: number): void {
@@ -110,8 +110,8 @@
     this.options.storage.appendEntries(entries, (error) => {
       this.afterWrite(error, () => {
         // A later write may have replaced these entries meanwhile.
-        const stands = last !== undefined && this.log.termAt(last.index) === last.term;
-        if (stands) this.syncedIndex = Math.max(this.syncedIndex, last.index);
+        const isStillInLog = last !== undefined && this.log.termAt(last.index) === last.term;
+        if (isStillInLog) this.syncedIndex = Math.max(this.syncedIndex, last.index);
         done();
       });
     });
@@ -119,7 +119,7 @@
 
   /** Runs `done` after a write that was synced; takes no further part after one that failed. */
   afterWrite(error: Error | undefined, done: () => void): void {
-    if (!this.active) return;
+    if (!this.isActive) return;
     if (error === undefined) {
       done();
       return;
--- a/src/consensus/replica-bootstrap.ts
+++ b/src/consensus/replica-bootstrap.ts
@@ -38,11 +38,11 @@
 
 export class ReplicaBootstrap {
   /** The other replicas by origin, as last heard of. */
-  private readonly known = new Map<string, Replica>();
+  private readonly knownReplicas = new Map<string, Replica>();
   /** What the other replicas have promised, by origin. */
   private readonly promises = new Map<string, readonly Replica[]>();
   private promised: readonly Replica[] | undefined;
-  private isPromising = false;
+  private isPromiseStarted = false;
   private timer: Timer | undefined;
   private decided = false;
 
@@ -52,7 +52,7 @@
 
   start(): void {
     this.probe();
-    this.consider();
+    this.advance();
   }
 
   stop(): void {
@@ -63,16 +63,16 @@
   /** Handles a message that came before the replica has a log. Others are dropped. */
   receive(message: RaftMessage): void {
     if (this.decided) return;
-    if (message.type === 'probe-request') this.answer(message.from);
+    if (message.type === 'probe-request') this.respond(message.from);
     if (message.type === 'probe-response') this.onResponse(message);
   }
 
   private onResponse({ from, found }: ProbeResponse): void {
     switch (found.type) {
       case 'empty':
-        this.known.set(from.origin, from);
+        this.knownReplicas.set(from.origin, from);
         if (found.promised !== undefined) this.promises.set(from.origin, found.promised);
-        this.consider();
+        this.advance();
         return;
       case 'formed':
         // A set that was formed with an earlier disk of this machine is of no use to this one.
@@ -94,18 +94,18 @@
     this.timer = clock.schedule(probeIntervalMs, () => this.probe());
   }
 
-  private answer(to: MessageTarget): void {
+  private respond(to: MessageTarget): void {
     const { transport, self: from } = this.options;
     const found: ProbeFinding = { type: 'empty', promised: this.promised };
     transport.send(to, { type: 'probe-response', from, term: 0, found });
   }
 
   /** Promises once all are known; forms once all have promised the same. */
-  private consider(): void {
+  private advance(): void {
     const { contacts } = this.options;
     const { promised } = this;
     if (promised === undefined) {
-      if (contacts.every((origin) => this.known.has(origin))) this.promise();
+      if (contacts.every((origin) => this.knownReplicas.has(origin))) this.makePromise();
       return;
     }
     const isUnanimous = contacts.every((origin) => isSameSet(this.promises.get(origin), promised));
@@ -117,14 +117,14 @@
     this.decide({ type: 'form', replicas });
   }
 
-  private promise(): void {
-    if (this.isPromising) return;
-    this.isPromising = true;
-    const all = [this.options.self, ...this.known.values()];
+  private makePromise(): void {
+    if (this.isPromiseStarted) return;
+    this.isPromiseStarted = true;
+    const all = [this.options.self, ...this.knownReplicas.values()];
     const sorted = all.sort((first, second) => (first.name < second.name ? -1 : 1));
     this.options.savePromise(sorted, () => {
       this.promised = sorted;
-      if (!this.decided) this.consider();
+      if (!this.decided) this.advance();
     });
   }
 
--- a/src/consensus/replica-changes.ts
+++ b/src/consensus/replica-changes.ts
@@ -9,9 +9,9 @@
   /** Whether the replica's log has caught up with the leader's. */
   hasCaughtUp(identity: string): boolean;
   /** Whether nothing was heard of the replica for several election timeouts. */
-  isSilent(identity: string): boolean;
+  isUnresponsive(identity: string): boolean;
   /** Most voters of the set; a learner beyond them waits until one falls silent. */
-  readonly voterTarget: number;
+  readonly maxVoters: number;
 }
 
 /** Adds a replica as a learner; undefined when the identity is in the set already. */
@@ -44,13 +44,14 @@
   for (const learner of set.learners) {
     const { identity, name, role } = learner;
     if (role !== 'voter' || !observations.hasCaughtUp(identity)) continue;
-    if (observations.isSilent(identity)) continue;
-    const lost = set.voters.find((voter) => voter.name === name);
-    if (lost === undefined && set.voters.length < observations.voterTarget) {
+    if (observations.isUnresponsive(identity)) continue;
+    const previousVoter = set.voters.find((voter) => voter.name === name);
+    if (previousVoter === undefined && set.voters.length < observations.maxVoters) {
       return promote(set, learner);
     }
-    const replaced = lost ?? set.voters.find((voter) => observations.isSilent(voter.identity));
-    if (replaced !== undefined && observations.isSilent(replaced.identity)) {
+    const replaced =
+      previousVoter ?? set.voters.find((voter) => observations.isUnresponsive(voter.identity));
+    if (replaced !== undefined && observations.isUnresponsive(replaced.identity)) {
       return withoutVoter(set, replaced.identity);
     }
   }
--- a/src/consensus/replica-folder.ts
+++ b/src/consensus/replica-folder.ts
@@ -12,7 +12,7 @@
 const PROMISE_FILE = 'promise';
 
 /** What the identity file holds. */
-export type FoundIdentity =
+export type StoredIdentity =
   | { readonly type: 'none' }
   | { readonly type: 'damaged' }
   | { readonly type: 'found'; readonly identity: string };
@@ -25,7 +25,7 @@
     return this.files.read(IDENTITY_FILE) !== undefined;
   }
 
-  readIdentity(): FoundIdentity {
+  readIdentity(): StoredIdentity {
     const bytes = this.files.read(IDENTITY_FILE);
     if (bytes === undefined) return { type: 'none' };
     const [payload] = scanRecords(bytes).payloads;
--- a/src/consensus/replica-host.ts
+++ b/src/consensus/replica-host.ts
@@ -98,7 +98,7 @@
     this.emptyState ??= this.options.stateMachine.takeSnapshot();
     const found = this.folder.readIdentity();
     if (found.type === 'none') this.create();
-    else if (found.type === 'damaged') this.enter('damaged', 'the identity file is damaged');
+    else if (found.type === 'damaged') this.setPhase('damaged', 'the identity file is damaged');
     else this.open(found.identity);
   }
 
@@ -107,7 +107,7 @@
     this.bootstrap?.stop();
     this.node?.stop();
     this.storage?.close();
-    this.enter('stopped', undefined);
+    this.setPhase('stopped', undefined);
   }
 
   /** Handles a message. `to` is the identity it was sent to; empty for whoever runs here. */
@@ -132,7 +132,7 @@
     return this.node?.removeReplica(name) ?? false;
   }
 
-  private enter(phase: ReplicaPhase, problem: string | undefined): void {
+  private setPhase(phase: ReplicaPhase, problem: string | undefined): void {
     if (this.currentPhase === 'stopped') return;
     this.currentPhase = phase;
     this.currentProblem = problem;
@@ -141,7 +141,7 @@
 
   private fail(error: Error): void {
     const cause = error.cause instanceof Error ? ` ${error.cause.message}` : '';
-    this.enter('failed', `${error.message}${cause}`);
+    this.setPhase('failed', `${error.message}${cause}`);
     this.options.clock.schedule(REOPEN_DELAY_MS, () => this.reopen());
   }
 
@@ -168,7 +168,7 @@
   }
 
   private create(): void {
-    this.enter('creating', undefined);
+    this.setPhase('creating', undefined);
     const identity = this.options.drawIdentity();
     this.folder.create(identity, (error) => {
       if (error === undefined) this.open(identity);
@@ -180,16 +180,16 @@
     if (this.currentPhase === 'stopped') return;
     const opened = LogStorage.open(this.options.files);
     if (opened.type === 'damaged') {
-      this.enter('damaged', opened.reason);
+      this.setPhase('damaged', opened.reason);
       return;
     }
     const { name, origin, role } = this.options;
     this.self = { identity, name, origin, role };
     this.storage = opened.storage;
-    this.begin(this.self, opened.storage, opened.persisted);
+    this.bootstrapOrRun(this.self, opened.storage, opened.persisted);
   }
 
-  private begin(self: Replica, storage: LogStorage, persisted: PersistedState): void {
+  private bootstrapOrRun(self: Replica, storage: LogStorage, persisted: PersistedState): void {
     const hasLog = persisted.snapshot !== undefined || persisted.entries.length > 0;
     const promised = this.folder.readPromise();
     // A disk that has promised goes on forming its set, whatever the settings say since.
@@ -198,10 +198,10 @@
       return;
     }
     if (promised === 'damaged') {
-      this.enter('damaged', 'the promise file is damaged');
+      this.setPhase('damaged', 'the promise file is damaged');
       return;
     }
-    this.enter('bootstrapping', 'waiting for the other replicas');
+    this.setPhase('bootstrapping', 'waiting for the other replicas');
     const { clock, transport, contacts, electionTimeoutMs } = this.options;
     this.bootstrap = new ReplicaBootstrap({
       clock,
@@ -256,13 +256,13 @@
         electionTimeoutMs,
         contacts,
         snapshotInterval: this.options.snapshotInterval,
-        voterTarget: this.options.voterTarget,
+        maxVoters: this.options.voterTarget,
         onStorageFailure: (error) => this.fail(error),
       },
       persisted,
       this.options.parts,
     );
-    this.enter('running', undefined);
+    this.setPhase('running', undefined);
     this.node.start();
   }
 }
--- a/test/consensus/replica-bootstrap.test.ts
+++ b/test/consensus/replica-bootstrap.test.ts
@@ -37,7 +37,7 @@
     this.bootstrap.start();
   }
 
-  hear(from: Replica, found: ProbeFinding): void {
+  receive(from: Replica, found: ProbeFinding): void {
     const message: RaftMessage = { type: 'probe-response', from, term: 0, found };
     this.bootstrap.receive(message);
   }
@@ -50,11 +50,11 @@
 describe('ReplicaBootstrap', () => {
   it('promises once it knows all, and forms once all have promised the same', () => {
     const bootstrap = new Bootstrap(undefined);
-    bootstrap.hear(replica('a', 1), empty(undefined));
-    bootstrap.hear(replica('c', 1), empty(FIRST));
+    bootstrap.receive(replica('a', 1), empty(undefined));
+    bootstrap.receive(replica('c', 1), empty(FIRST));
     expect(bootstrap.promise).to.deep.equal(FIRST);
     expect(bootstrap.decision).to.equal(undefined);
-    bootstrap.hear(replica('a', 1), empty(FIRST));
+    bootstrap.receive(replica('a', 1), empty(FIRST));
     expect(bootstrap.decision).to.deep.equal({
       type: 'form',
       replicas: { voters: FIRST, learners: [] },
@@ -63,16 +63,16 @@
 
   it('forms no second store on the old answer of a replica that promised another set', () => {
     const bootstrap = new Bootstrap(undefined);
-    bootstrap.hear(replica('c', 1), empty(FIRST));
-    bootstrap.hear(replica('a', 2), empty(WITH_NEW_A));
+    bootstrap.receive(replica('c', 1), empty(FIRST));
+    bootstrap.receive(replica('a', 2), empty(WITH_NEW_A));
     expect(bootstrap.promise).to.deep.equal(WITH_NEW_A);
     expect(bootstrap.decision).to.equal(undefined);
   });
 
   it('keeps its promise after a restart, whoever comes back with an empty disk', () => {
     const bootstrap = new Bootstrap(FIRST);
-    bootstrap.hear(replica('a', 2), empty(WITH_NEW_A));
-    bootstrap.hear(replica('c', 1), empty(WITH_NEW_A));
+    bootstrap.receive(replica('a', 2), empty(WITH_NEW_A));
+    bootstrap.receive(replica('c', 1), empty(WITH_NEW_A));
     expect(bootstrap.promise).to.deep.equal(FIRST);
     expect(bootstrap.decision).to.equal(undefined);
   });
@@ -80,19 +80,19 @@
   it('adopts a formed set that it is in, and no other', () => {
     const bootstrap = new Bootstrap(undefined);
     const other = [replica('a', 1), replica('b', 9), replica('c', 1)];
-    bootstrap.hear(replica('a', 1), {
+    bootstrap.receive(replica('a', 1), {
       type: 'formed',
       replicas: { voters: other, learners: [] },
     });
     expect(bootstrap.decision).to.equal(undefined);
     const replicas = { voters: FIRST, learners: [] };
-    bootstrap.hear(replica('a', 1), { type: 'formed', replicas });
+    bootstrap.receive(replica('a', 1), { type: 'formed', replicas });
     expect(bootstrap.decision).to.deep.equal({ type: 'form', replicas });
   });
 
   it('joins where a log has begun', () => {
     const bootstrap = new Bootstrap(FIRST);
-    bootstrap.hear(replica('c', 1), { type: 'log' });
+    bootstrap.receive(replica('c', 1), { type: 'log' });
     expect(bootstrap.decision).to.deep.equal({ type: 'join' });
   });
 });
--- a/test/consensus/replica-changes.test.ts
+++ b/test/consensus/replica-changes.test.ts
@@ -10,10 +10,14 @@
   return set?.voters.map(({ identity }) => identity);
 }
 
-function decide(voters: Replica[], learner: Replica, silent: string[], voterTarget = 3) {
+function decide(voters: Replica[], learner: Replica, unresponsive: string[], maxVoters = 3) {
   return nextReplicaChange(
     { voters, learners: [learner] },
-    { hasCaughtUp: () => true, isSilent: (identity) => silent.includes(identity), voterTarget },
+    {
+      hasCaughtUp: () => true,
+      isUnresponsive: (identity) => unresponsive.includes(identity),
+      maxVoters,
+    },
   );
 }
 
