--- a/src/consensus/applied-log.ts
+++ b/src/consensus/applied-log.ts
@@ -1,12 +1,9 @@
-/**
- * Applies committed entries to the state machine, answers proposals, and takes snapshots. Owns the applied index and the proposals
- * that wait; `leadership.ts` and `log-receiver.ts` say what is committed.
- */
+/** Applies committed entries to the state machine, completes pending proposals and takes snapshots. */
 import type { ProposalCallback, ProposalOutcome } from './raft-options.js';
 import type { RaftState } from './raft-state.js';
 import type { LogEntry, Snapshot } from '../storage/persisted-state.js';
 
-/** Entries between two snapshots: bounds the log that a start reads. */
+/** Number of entries between two snapshots. Bounds the part of the log that is replayed at startup. */
 const DEFAULT_SNAPSHOT_INTERVAL = 1_000;
 
 interface Proposal {
@@ -15,7 +12,7 @@
 }
 
 export class AppliedLog {
-  /** Last index applied to the state machine. */
+  /** Index of the last entry applied to the state machine. */
   appliedIndex: number;
   private snapshotIndex: number;
   private readonly proposals = new Map<number, Proposal>();
@@ -30,12 +27,12 @@
     if (snapshot !== undefined) state.options.stateMachine.restoreSnapshot(snapshot.data);
   }
 
-  /** Calls back once the entry at `index` of `term` is applied. */
+  /** Calls `callback` once the entry at `index` is applied; the outcome is `unknown` if its term is not `term`. */
   trackProposal(index: number, term: number, callback: ProposalCallback): void {
     this.proposals.set(index, { term, callback });
   }
 
-  /** Raises the commit index and applies up to it. */
+  /** Advances the commit index to `index` and applies all entries up to it. */
   commitUpTo(index: number): void {
     if (index <= this.state.commitIndex) return;
     this.state.commitIndex = index;
@@ -44,7 +41,7 @@
     this.takeSnapshotIfDue();
   }
 
-  /** Takes over the state of a snapshot that came from the leader. */
+  /** Restores the state machine from a snapshot received from the leader. */
   installSnapshot(snapshot: Snapshot): void {
     this.state.commitIndex = snapshot.index;
     this.appliedIndex = snapshot.index;
@@ -53,7 +50,7 @@
     this.onApplied(this.appliedIndex);
   }
 
-  /** Ends all proposals under way. */
+  /** Completes all pending proposals with the given outcome. */
   failProposals(outcome: ProposalOutcome): void {
     const proposals = [...this.proposals.values()];
     this.proposals.clear();
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,18 +1,18 @@
 /**
- * Elections with pre-vote: decides when to stand, whom to vote for, and when a majority is reached. Owns the election timer and the
- * votes of the election under way; term and vote are in the shared state, on disk before a vote is sent.
+ * Leader election with pre-vote: runs the election timer, requests and grants votes, and counts the votes received.
+ * Term and vote are synced to disk before a vote is granted.
  */
 import type { Timer } from '../common/clock.js';
 import { isMajority } from './peer-progress.js';
 import type { RaftState } from './raft-state.js';
 import type { ElectNow, VoteRequest, VoteResponse } from './raft-types.js';
 
-/** After this many timeouts in a row without a leader, a replica may have been put out of its set. */
+/** After more than this many consecutive timeouts, the replica asks to join the set: it may have been removed. */
 const TIMEOUTS_BEFORE_REJOIN = 3;
 
 export class Election {
   private timer: Timer | undefined;
-  /** Timeouts in a row without a leader. */
+  /** Consecutive election timeouts without a message from a leader. */
   private timeoutsWithoutLeader = 0;
   private votes = new Set<string>();
 
@@ -21,7 +21,7 @@
     private readonly onElected: () => void,
   ) {}
 
-  /** Waits a random time of one to two election timeouts before standing. */
+  /** Restarts the election timer with a random delay of one to two election timeouts. */
   resetTimer(): void {
     this.timer?.cancel();
     const { options } = this.state;
@@ -64,7 +64,7 @@
     this.countVotes();
   }
 
-  /** The leader stops and has chosen this replica as the one to follow it. */
+  /** Starts an election at once, because the leader is shutting down and chose this replica as its successor. */
   onElectNow(message: ElectNow): void {
     const { state } = this;
     const isFromLeader = state.leader?.identity === message.from.identity;
@@ -85,7 +85,7 @@
     if (this.state.isVoter) this.stand();
   }
 
-  /** A leader was heard. */
+  /** Resets the election timeout after a message from the leader. */
   onLeaderMessage(): void {
     this.timeoutsWithoutLeader = 0;
     this.resetTimer();
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Asks first whether the others would elect this replica: one that was cut off raises no term when it returns. */
+  /** Starts with a pre-vote, so that a replica that was partitioned does not disrupt the leader with a higher term. */
   protected stand(): void {
     this.requestVotes('pre-candidate');
   }
@@ -145,7 +145,7 @@
     else if (state.role === 'candidate') this.onElected();
   }
 
-  /** Whether this replica leads, or heard from a leader within an election timeout. */
+  /** Whether this replica leads or received a leader's message within the election timeout. */
   private hasRecentLeader(): boolean {
     const { state } = this;
     const sinceLeaderMessageMs = state.now - state.lastLeaderMessageAt;
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,7 +1,6 @@
 /**
- * What the leader decides: what is committed, whether it still leads, which reads it may answer, and the next change of the
- * replica set. Owns the heartbeat's timer and the time up to which a majority has confirmed this leader; it relies on
- * `peer-replication.ts` for what the other replicas have, and on `replica-changes.ts` for the order of changes.
+ * The leader's side of Raft: appends entries, sends heartbeats, advances the commit index, confirms leadership for
+ * reads and changes the replica set.
  */
 import type { Timer } from '../common/clock.js';
 import type { AppliedLog } from './applied-log.js';
@@ -14,15 +13,15 @@
 import type { EntryPayload, LogEntry, Replica, ReplicaSet } from '../storage/persisted-state.js';
 import { nextReplicaChange, withLearner, withoutReplica } from './replica-changes.js';
 
-/** Heartbeats in an election timeout: four may be lost before a replica stands for election. */
+/** Heartbeats per election timeout, so that a few lost messages don't trigger an election. */
 const HEARTBEATS_PER_TIMEOUT = 5;
-/** A voter is silent after this many election timeouts without an answer: longer than an election. */
+/** Election timeouts without a response after which a replica counts as unresponsive. Longer than an election. */
 const UNRESPONSIVE_TIMEOUTS = 3;
 
 export class Leadership {
   private readonly peers: PeerReplication;
   private timer: Timer | undefined;
-  /** Start of the newest round that a majority has answered; undefined before the first. */
+  /** Start of the newest heartbeat round that a majority has answered; undefined before the first. */
   private confirmedSince: number | undefined;
 
   constructor(
@@ -39,7 +38,7 @@
     return this.state.role === 'leader' ? this.confirmedSince : undefined;
   }
 
-  /** This replica was elected. */
+  /** Starts leading after an election was won. */
   becomeLeader(): void {
     const { state } = this;
     state.role = 'leader';
@@ -49,7 +48,7 @@
     this.heartbeat();
   }
 
-  /** Stops leading; the most up-to-date voter is asked to take over at once. */
+  /** Steps down and asks the most up-to-date voter to start an election at once. */
   transferLeadership(): void {
     const { state } = this;
     const [successor] = state.log.replicas.voters
@@ -60,7 +59,7 @@
     state.stepDown();
   }
 
-  /** Replicates an entry. `callback` is called when it is applied here. */
+  /** Appends an entry to the log and replicates it. `callback` receives the outcome. */
   append(payload: EntryPayload, callback?: ProposalCallback): void {
     const { state } = this;
     const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, payload };
@@ -70,7 +69,7 @@
     this.peers.sendToAll();
   }
 
-  /** Removes the replicas of a name. @returns false when that is not possible now */
+  /** Removes all replicas with the given name. @returns false if that is not possible now */
   removeReplica(name: string): boolean {
     const next = withoutReplica(this.state.log.replicas, name);
     if (next === undefined || !this.mayChangeReplicas()) return false;
@@ -78,7 +77,7 @@
     return true;
   }
 
-  /** Lets a replica in as a learner; a follower passes the request on to the leader it knows. */
+  /** Adds the sender as a learner. A follower forwards the request to the leader. */
   onJoinRequest(request: JoinRequest): void {
     const { leader, role } = this.state;
     if (role !== 'leader' && leader !== undefined && leader.identity !== request.from.identity) {
@@ -100,8 +99,8 @@
   }
 
   /**
-   * Calls back with an index that is safe to read at once a majority has confirmed this leader;
-   * with undefined when that fails.
+   * Calls `callback` with a read index once a majority has confirmed this leader; with undefined if leadership can't be
+   * confirmed.
    */
   confirmRead(callback: (index: number | undefined) => void): void {
     const { state } = this;
@@ -128,8 +127,8 @@
   }
 
   /**
-   * The first entry of a term, which a leader commits to learn what was acknowledged before it. In an empty log it is the
-   * replica set, so that every log holds the same one; in any other, in a set of one replica too, it is a `noop`.
+   * Payload of the first entry of a term. A leader must commit an entry of its own term before its commit index covers
+   * earlier terms. In an empty log the entry holds the replica set, otherwise it is a `noop`.
    */
   private firstPayload(): EntryPayload {
     const { log } = this.state;
@@ -152,7 +151,7 @@
     this.timer = state.options.clock.schedule(intervalMs, () => this.heartbeat());
   }
 
-  /** Whether a majority has answered within an election timeout. */
+  /** Check quorum: whether a majority of voters has responded within the election timeout. */
   protected hasQuorum(): boolean {
     const { state } = this;
     const since = state.now - state.options.electionTimeoutMs;
@@ -163,7 +162,10 @@
     return isMajority(answered.length, state.log.replicas);
   }
 
-  /** Commits what a majority has on disk. Only entries of the leader's own term are counted. */
+  /**
+   * Commits entries that a majority has synced. Only an entry of the current term is committed by counting replicas;
+   * earlier entries are committed along with it.
+   */
   private advanceCommit(): void {
     const { state } = this;
     if (state.role !== 'leader') return;
@@ -177,13 +179,13 @@
   }
 
   /**
-   * A majority that answers the round confirms the leader as of now: no other one had been elected by then, so nothing
-   * unknown here had been acknowledged.
+   * Starts a heartbeat round. When a majority has answered it, no other leader can have been elected before the round
+   * started, so every change acknowledged until then is in this leader's log.
    */
   private beginRound(): void {
     const round = this.peers.beginRound();
     const { state, reads } = this;
-    // Before its first commit a leader does not know yet what was acknowledged.
+    // Before its first commit in this term, the commit index may miss entries acknowledged by an earlier leader.
     if (!state.hasCommittedInTerm) return;
     const { now, commitIndex } = state;
     reads.addUnconfirmed(round, commitIndex, (index) => {
@@ -201,7 +203,7 @@
     this.reads.onConfirmed(confirmedRound);
   }
 
-  /** A set may be changed once the last change, and an entry of this term, are committed. */
+  /** Whether the replica set may be changed: the previous change and an entry of this term must be committed. */
   private mayChangeReplicas(): boolean {
     const { state } = this;
     const isLastChangeCommitted = state.log.replicasIndex <= state.commitIndex;
@@ -222,7 +224,7 @@
     if (next !== undefined) this.appendReplicas(next);
   }
 
-  /** Whether the replica has everything that is committed on its disk: a voter without it could not be counted on. */
+  /** Whether the replica has synced all committed entries. A learner must do so before it becomes a voter. */
   protected hasCaughtUp(identity: string): boolean {
     return this.peers.progressOf(identity).matchIndex >= this.state.commitIndex;
   }
--- a/src/consensus/log-receiver.ts
+++ b/src/consensus/log-receiver.ts
@@ -1,7 +1,4 @@
-/**
- * What a replica that does not lead does with entries and snapshots from the leader. It answers only once they are synced, and
- * owns no state.
- */
+/** Handles entries and snapshots from the leader. Responses are sent only after the data is synced to disk. */
 import type { AppliedLog } from './applied-log.js';
 import type { Election } from './election.js';
 import type { RaftState } from './raft-state.js';
@@ -35,7 +32,7 @@
     state.writeEntries(added, () => {
       if (state.term === term) this.respond(request, true, matchIndex);
     });
-    // A majority has these on disk already: this replica's readers need not wait for its own.
+    // Committed entries are synced on a majority, so they can be applied before the local write completes.
     this.applied.commitUpTo(Math.min(request.commitIndex, matchIndex));
   }
 
@@ -49,7 +46,7 @@
     const { snapshot } = request;
     const respond = (): void => this.respond(request, true, snapshot.index);
     if (snapshot.index <= state.commitIndex) {
-      // The entries up to it may still be on their way to disk.
+      // Entries up to the snapshot may not be synced yet; the empty write waits for them.
       state.writeEntries([], respond);
       return;
     }
--- a/src/consensus/peer-progress.ts
+++ b/src/consensus/peer-progress.ts
@@ -1,31 +1,31 @@
-/** What a leader knows of another replica's log, and what a majority of voters is. Pure. */
+/** Replication progress of a single peer, and majority calculations over a replica set. */
 import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
-/** One replica's progress. */
+/** Replication state of one peer, as known to the leader. */
 export interface PeerProgress {
-  /** Next index to send. */
+  /** Index of the next entry to send. */
   nextIndex: number;
-  /** Highest index known to be on the replica's disk. */
+  /** Highest index known to be synced to the peer's disk. */
   matchIndex: number;
-  /** Highest heartbeat round that the replica has answered. */
+  /** Highest heartbeat round that the peer has answered. */
   answeredRound: number;
-  /** Monotonic milliseconds of its last answer. */
+  /** Time of the last response, in monotonic milliseconds. */
   lastResponseAt: number;
-  /** Monotonic milliseconds at which a snapshot was last sent. */
+  /** Time at which a snapshot was last sent, in monotonic milliseconds. */
   snapshotSentAt: number;
 }
 
-/** Every replica of a set: voters, then learners. */
+/** Returns all replicas of a set, voters first. */
 export function allReplicas(set: ReplicaSet): Replica[] {
   return [...set.voters, ...set.learners];
 }
 
-/** Whether `count` of the voters are a majority. */
+/** Whether `count` voters form a majority of the set. */
 export function isMajority(count: number, set: ReplicaSet): boolean {
   return count > set.voters.length / 2;
 }
 
-/** The highest value that a majority of voters has reached. */
+/** Returns the highest value that a majority of voters has reached; 0 for an empty set. */
 export function majorityValue(set: ReplicaSet, valueOf: (identity: string) => number): number {
   const values = set.voters.map((voter) => valueOf(voter.identity)).sort((a, b) => b - a);
   return values[Math.floor(values.length / 2)] ?? 0;
--- a/src/consensus/peer-replication.ts
+++ b/src/consensus/peer-replication.ts
@@ -1,13 +1,12 @@
 /**
- * The leader's copies: what each other replica has on its disk, and the messages that bring it up to date. Owns the progress
- * of the peers and the number of the heartbeat round; what follows from the progress is decided in `leadership.ts`.
+ * Replicates the leader's log to its peers: tracks the progress of each one and sends it missing entries or a snapshot.
  */
 import type { Replica } from '../storage/persisted-state.js';
 import type { PeerProgress } from './peer-progress.js';
 import type { RaftState } from './raft-state.js';
 import type { AppendResponse } from './raft-types.js';
 
-/** Entries in one message, so that a replica that is far behind gets several of bounded size. */
+/** Maximum number of entries in one message, which bounds the message size for a peer that is far behind. */
 const MAX_ENTRIES_PER_APPEND = 200;
 
 export class PeerReplication {
@@ -16,23 +15,23 @@
 
   constructor(private readonly state: RaftState) {}
 
-  /** Number of the heartbeat round under way. */
+  /** Number of the current heartbeat round. */
   get round(): number {
     return this.currentRound;
   }
 
-  /** Begins the next heartbeat round. @returns its number */
+  /** Starts the next heartbeat round. @returns its number */
   beginRound(): number {
     this.currentRound += 1;
     return this.currentRound;
   }
 
-  /** Forgets the progress of all peers. */
+  /** Discards the progress of all peers. */
   clear(): void {
     this.progress.clear();
   }
 
-  /** The progress of a peer; one that is new counts as having answered now. */
+  /** Returns the progress of a peer. For a new peer it is created, with the current time as its last response. */
   progressOf(identity: string): PeerProgress {
     let progress = this.progress.get(identity);
     if (progress === undefined) {
@@ -48,12 +47,12 @@
     return progress;
   }
 
-  /** Sends every peer the entries that it lacks, or none as a heartbeat. */
+  /** Sends every peer its missing entries, or a heartbeat if there are none. */
   sendToAll(): void {
     for (const peer of this.state.peers) this.sendEntries(peer);
   }
 
-  /** Sends the entries that a peer still lacks, if any. */
+  /** Sends a peer its missing entries, if there are any. */
   sendIfBehind(identity: string, { nextIndex }: PeerProgress): void {
     const { state } = this;
     const peer = state.peers.find((other) => other.identity === identity);
@@ -61,7 +60,7 @@
     if (peer !== undefined && isBehind) this.sendEntries(peer);
   }
 
-  /** Records what a peer answered. @returns its progress */
+  /** Updates the progress of a peer from its response. @returns the progress */
   onResponse(response: AppendResponse): PeerProgress {
     const progress = this.progressOf(response.from.identity);
     progress.lastResponseAt = this.state.now;
@@ -96,7 +95,7 @@
     });
   }
 
-  /** A snapshot is large: it is sent again only after half an election timeout. */
+  /** Sends the latest snapshot, at most once per half election timeout because snapshots are large. */
   private sendSnapshot(peer: Replica): void {
     const { state, round } = this;
     const { snapshot } = state.log;
--- a/src/consensus/pending-reads.ts
+++ b/src/consensus/pending-reads.ts
@@ -1,6 +1,6 @@
-/** Reads that wait for a majority to confirm the leader, and then for their index to be applied. */
+/** Linearizable reads that wait for a majority to confirm the leader, or for their read index to be applied. */
 
-/** Called with whether the read may be served. */
+/** Receives whether the read may be served. */
 export type ReadCallback = (confirmed: boolean) => void;
 
 interface UnconfirmedRead {
@@ -18,7 +18,7 @@
   private unconfirmed: UnconfirmedRead[] = [];
   private waiting: WaitingRead[] = [];
 
-  /** A read that needs the heartbeat round `round` to be answered by a majority. */
+  /** Adds a read that waits until a majority has answered heartbeat round `round`. */
   addUnconfirmed(
     round: number,
     index: number,
@@ -27,7 +27,7 @@
     this.unconfirmed.push({ round, index, callback });
   }
 
-  /** A majority has answered the given round. */
+  /** Completes the reads of all rounds up to `round`, which a majority has answered. */
   onConfirmed(round: number): void {
     const confirmed = this.unconfirmed.filter((read) => read.round <= round);
     if (confirmed.length === 0) return;
@@ -35,7 +35,7 @@
     for (const read of confirmed) read.callback(read.index);
   }
 
-  /** Calls back once `index` is applied. */
+  /** Calls `callback` once `index` is applied, or at once if it already is. */
   addWaiting(index: number, appliedIndex: number, callback: ReadCallback): void {
     if (index <= appliedIndex) callback(true);
     else this.waiting.push({ index, callback });
@@ -48,7 +48,7 @@
     for (const read of ready) read.callback(true);
   }
 
-  /** The leader stepped down: reads that were not confirmed fail. */
+  /** Fails all unconfirmed reads, after the leader stepped down. */
   failUnconfirmed(): void {
     const failed = this.unconfirmed;
     this.unconfirmed = [];
--- a/src/consensus/raft-log.ts
+++ b/src/consensus/raft-log.ts
@@ -1,17 +1,17 @@
 /**
- * The log in memory: the entries after the last snapshot, and the replica sets that they declare. The same entries are on disk by
- * way of `storage/log-storage.ts`, or on their way to it.
+ * The in-memory Raft log: recent entries and the replica sets that they contain. `storage/log-storage.ts` writes the
+ * same entries to disk.
  */
 import type { LogEntry, ReplicaSet, Snapshot } from '../storage/persisted-state.js';
 
-/** Entries kept behind a snapshot, so that a replica that is a little behind needs no snapshot. */
+/** Entries kept before the latest snapshot, so that a replica that lags slightly does not need a snapshot. */
 const CATCH_UP_ENTRIES = 500;
 
 const NO_REPLICAS: ReplicaSet = { voters: [], learners: [] };
 
 export class RaftLog {
   private entries: LogEntry[] = [];
-  /** Index and term of the entry before the first one kept. */
+  /** Index and term of the entry before the first one in memory. */
   private baseIndex = 0;
   private baseTerm = 0;
   private baseReplicas: ReplicaSet = NO_REPLICAS;
@@ -30,17 +30,17 @@
     return this.entries.at(-1)?.term ?? this.baseTerm;
   }
 
-  /** Index of the first entry that is kept. */
+  /** Index of the first entry in memory. */
   get firstIndex(): number {
     return this.baseIndex + 1;
   }
 
-  /** The last snapshot taken or received. */
+  /** The latest snapshot, taken here or received from the leader. */
   get snapshot(): Snapshot | undefined {
     return this.latestSnapshot;
   }
 
-  /** The term of the entry at `index`; undefined when it is not kept or does not exist. */
+  /** Term of the entry at `index`; undefined if the entry was compacted or does not exist. */
   termAt(index: number): number | undefined {
     if (index === this.baseIndex) return this.baseTerm;
     return this.entryAt(index)?.term;
@@ -50,16 +50,16 @@
     return this.entries[index - this.baseIndex - 1];
   }
 
-  /** Up to `limit` entries from `index` on. */
+  /** Returns up to `limit` entries, starting at `index`. */
   entriesFrom(index: number, limit: number): LogEntry[] {
     const start = index - this.baseIndex - 1;
     return this.entries.slice(start, start + limit);
   }
 
   /**
-   * Adds entries that follow on a matching one. Entries that are there already are left; from the
-   * first that differs on, the log is replaced.
-   * @returns the entries that are new and must be written
+   * Appends entries whose predecessor matches this log. Entries that are already present are skipped; from the first
+   * conflicting one on, the log is truncated and replaced.
+   * @returns the entries that were added and have to be written to disk
    */
   merge(entries: readonly LogEntry[]): LogEntry[] {
     const firstNew = entries.findIndex(
@@ -72,12 +72,12 @@
     return added;
   }
 
-  /** The replica set in force: the last one declared, whether committed or not. */
+  /** The current replica set: the latest one in the log, whether committed or not. */
   get replicas(): ReplicaSet {
     return this.replicasAt(this.lastIndex);
   }
 
-  /** Index of the last replica set declared; 0 when it stands in the snapshot. */
+  /** Index of the latest entry with a replica set; 0 if there is none in memory. */
   get replicasIndex(): number {
     for (let at = this.entries.length - 1; at >= 0; at -= 1) {
       if (this.entries[at]!.payload.type === 'replicas') return this.entries[at]!.index;
@@ -85,7 +85,7 @@
     return 0;
   }
 
-  /** The replica set in force at an index. */
+  /** Returns the replica set as of the given index. */
   replicasAt(index: number): ReplicaSet {
     for (let at = Math.min(index, this.lastIndex); at > this.baseIndex; at -= 1) {
       const { payload } = this.entryAt(at)!;
@@ -94,13 +94,13 @@
     return this.baseReplicas;
   }
 
-  /** Whether a log that ends like this is at least as up to date as this one. */
+  /** Whether a log with the given last index and term is at least as up to date as this one. */
   isUpToDate(lastIndex: number, lastTerm: number): boolean {
     if (lastTerm !== this.lastTerm) return lastTerm > this.lastTerm;
     return lastIndex >= this.lastIndex;
   }
 
-  /** Records a snapshot of this replica's own state and drops old entries. */
+  /** Records a snapshot taken by this replica and discards older entries. */
   compact(snapshot: Snapshot): void {
     this.latestSnapshot = snapshot;
     const newBase = Math.max(this.baseIndex, snapshot.index - CATCH_UP_ENTRIES);
@@ -113,7 +113,7 @@
     this.baseReplicas = replicas;
   }
 
-  /** Replaces the log by a received snapshot, keeping entries that follow on it. */
+  /** Replaces the log by a snapshot received from the leader. Entries after it are kept if they match. */
   installSnapshot(snapshot: Snapshot): void {
     const matches = this.termAt(snapshot.index) === snapshot.term;
     const kept = matches ? this.entriesFrom(snapshot.index + 1, Infinity) : [];
--- a/src/consensus/raft-node.ts
+++ b/src/consensus/raft-node.ts
@@ -1,7 +1,7 @@
 /**
- * One replica of the log. Pure: clock, random source, storage and transport are injected, and the
- * same class runs in the control program and in the simulator. See `raft-types.ts` for the source.
- * Hands each message to the part that decides on it, and owns the reads that this replica has asked the leader about.
+ * A Raft replica: dispatches messages to the classes that handle them and exposes proposals, reads and status. Clock,
+ * random source, storage and transport are injected, so that the simulator can run the same code. See `raft-types.ts`
+ * for the algorithm.
  */
 import { AppliedLog } from './applied-log.js';
 import { Election } from './election.js';
@@ -19,7 +19,7 @@
 } from './raft-types.js';
 import type { PersistedState } from '../storage/persisted-state.js';
 
-/** The parts of a replica that decide who leads and what a leader may answer. */
+/** Classes of a replica that the simulator can replace. */
 export interface RaftParts {
   readonly Election: typeof Election;
   readonly Leadership: typeof Leadership;
@@ -37,7 +37,7 @@
   private readonly forwardedReads = new Map<number, ReadCallback>();
   private nextReadId = 1;
 
-  /** @param parts replaced in the simulator alone, to show what one safeguard in them is for */
+  /** @param parts overridden only by the simulator, to test what happens without a safeguard such as pre-vote */
   constructor(options: RaftOptions, persisted: PersistedState, parts = RAFT_PARTS) {
     this.state = new RaftState(options, persisted);
     this.applied = new AppliedLog(this.state, (index) => this.reads.onApplied(index));
@@ -46,12 +46,12 @@
     this.receiver = new LogReceiver(this.state, this.applied, this.election);
   }
 
-  /** Begins to take part. */
+  /** Starts the election timer. */
   start(): void {
     this.election.resetTimer();
   }
 
-  /** Takes no further part. A leader hands over; proposals under way end as unknown. */
+  /** Stops this replica. A leader first transfers leadership; pending proposals complete as `unknown`. */
   stop(): void {
     if (this.state.role === 'leader') this.leadership.transferLeadership();
     this.state.stopped = true;
@@ -74,7 +74,7 @@
     };
   }
 
-  /** Replicates a command; calls back once it is applied here, or when that can't be known. */
+  /** Proposes a command. Calls `callback` once it is applied here or its outcome can't be determined. */
   propose(data: Uint8Array, callback: ProposalCallback): void {
     const { state } = this;
     if (state.failed) callback({ type: 'failed-storage' });
@@ -82,14 +82,14 @@
     else callback({ type: 'not-leader', leader: state.leader });
   }
 
-  /** Removes the replicas of a name. @returns false when that is not possible now */
+  /** Removes all replicas with the given name. @returns false if that is not possible now */
   removeReplica(name: string): boolean {
     return this.state.role === 'leader' && this.leadership.removeReplica(name);
   }
 
   /**
-   * Calls back with true once everything committed before this call is applied here, as a majority
-   * confirms; with false when no leader could confirm it.
+   * Calls `callback` with true once every entry committed before this call is applied here, which makes a following
+   * read linearizable; with false if no leader could confirm its leadership.
    */
   readBarrier(callback: ReadCallback): void {
     const { state } = this;
@@ -111,7 +111,7 @@
     });
   }
 
-  /** Handles a message from another replica. */
+  /** Processes a message from another replica. */
   receive(message: RaftMessage): void {
     if (!this.state.isActive) return;
     const isNewer = message.term > this.state.term;
@@ -148,7 +148,7 @@
         this.onProbeRequest(message);
         return;
       case 'probe-response':
-      // Only a replica with an empty disk waits for these.
+      // Ignored: only a replica that is still bootstrapping uses these.
     }
   }
 
@@ -177,7 +177,7 @@
 
   private onProbeRequest(request: ProbeRequest): void {
     const { self: from, term, log } = this.state;
-    // A replica that waits to be let in knows nothing to tell.
+    // A replica that has not joined a replica set yet has nothing to report.
     if (log.replicas.voters.length === 0) return;
     const found: ProbeFinding =
       log.lastIndex === 0 ? { type: 'formed', replicas: log.replicas } : { type: 'log' };
@@ -185,7 +185,7 @@
   }
 }
 
-/** Messages whose term says nothing about the sender's own. */
+/** Whether the message carries the prospective term of a pre-vote, which the sender has not adopted itself. */
 function carriesPreVoteTerm(message: RaftMessage): boolean {
   if (message.type === 'vote-request') return message.preVote;
   return message.type === 'vote-response' && message.preVote && message.granted;
--- a/src/consensus/raft-options.ts
+++ b/src/consensus/raft-options.ts
@@ -1,12 +1,12 @@
-/** What a replica of the log is made of, how proposals on it end, and what its status shows. Types alone. */
+/** Types for the options, the proposals and the status of a Raft replica. */
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
 import type { RaftTransport, StateMachine } from './raft-types.js';
 import type { RaftStorage, Replica, ReplicaSet } from '../storage/persisted-state.js';
 
 /**
- * Roles of a replica of the log. A `follower` here is a replica that does not lead; processes that follow the configuration
- * are in `src/follower`. A `pre-candidate` asks whether it would be elected, in no new term.
+ * Raft role of a replica. A `pre-candidate` runs a pre-vote, which does not increment the term. Not to be confused with
+ * `src/follower`, which holds the processes that receive the configuration.
  */
 export type RaftRole = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
 
@@ -17,32 +17,32 @@
   readonly transport: RaftTransport;
   readonly stateMachine: StateMachine;
   readonly self: Replica;
-  /** Shortest time without a leader before an election, in milliseconds; the longest is twice it. */
+  /** Minimum election timeout in milliseconds. Each timeout is drawn at random between this value and twice it. */
   readonly electionTimeoutMs: number;
-  /** Origins to ask for membership while this replica is in no replica set. */
+  /** Origins to send join requests to, in addition to the known peers. */
   readonly contacts: readonly string[];
-  /** Entries applied between two snapshots. Default 1,000. */
+  /** Number of entries applied between two snapshots. Default: 1,000. */
   readonly snapshotInterval?: number | undefined;
   /**
-   * Most voters of the set. A learner beyond them stands by, and takes the place of a voter that has
-   * fallen silent. Default: no bound.
+   * Maximum number of voters. Further learners are kept as spares; one of them replaces a voter that becomes
+   * unresponsive. Default: unlimited.
    */
   readonly maxVoters?: number | undefined;
-  /** A write or sync failed: this replica takes no further part. */
+  /** Called when a write or sync failed. The replica processes no further messages. */
   readonly onStorageFailure: (error: Error) => void;
 }
 
-/** How a proposal ended. */
+/** Outcome of a proposal. */
 export type ProposalOutcome =
   | { readonly type: 'applied'; readonly result: unknown }
   | { readonly type: 'not-leader'; readonly leader: Replica | undefined }
-  /** Leadership was lost before the entry was committed: it may or may not be applied later. */
+  /** Leadership was lost before the entry was committed. The command may still be applied later. */
   | { readonly type: 'unknown' }
   | { readonly type: 'failed-storage' };
 
 export type ProposalCallback = (outcome: ProposalOutcome) => void;
 
-/** A replica's state, for `status` and for checks. */
+/** State of a replica, for status reports and tests. */
 export interface RaftStatus {
   readonly role: RaftRole;
   readonly term: number;
@@ -51,12 +51,12 @@
   readonly appliedIndex: number;
   readonly lastIndex: number;
   readonly replicas: ReplicaSet;
-  /** Whether `replicas` is committed, that is, whether a change of it is finished. */
+  /** Whether the entry that set `replicas` is committed, so that no membership change is in progress. */
   readonly replicasSettled: boolean;
   readonly failed: boolean;
   /**
-   * On a leader: monotonic milliseconds before which every acknowledged change is applied here, as a majority has
-   * confirmed since. Undefined elsewhere.
+   * On a leader: start of the newest heartbeat round that a majority has answered, in monotonic milliseconds. Every
+   * change acknowledged before it is applied here. Undefined on other replicas.
    */
   readonly confirmedAt: number | undefined;
 }
--- a/src/consensus/raft-state.ts
+++ b/src/consensus/raft-state.ts
@@ -1,7 +1,6 @@
 /**
- * The state that the parts of a replica share, with the steps that several of them take: writing to
- * disk, adopting a term, stepping down. Owns role, term, vote, leader and commit index; term and vote are written before they are
- * acted on.
+ * State shared by the classes of a Raft replica: role, term, vote, leader, log and commit index. Includes operations
+ * that several of them need, such as writing to disk, adopting a term and stepping down.
  */
 import { allReplicas } from './peer-progress.js';
 import { RaftLog } from './raft-log.js';
@@ -16,9 +15,9 @@
   readonly log: RaftLog;
   leader: Replica | undefined;
   commitIndex: number;
-  /** Last index that is synced on this replica's own disk. */
+  /** Last index that is synced to this replica's disk. */
   syncedIndex: number;
-  /** Monotonic milliseconds of the leader's last message. */
+  /** Time of the last message from the leader, in monotonic milliseconds. */
   lastLeaderMessageAt = -Infinity;
   failed = false;
   stopped = false;
@@ -47,7 +46,7 @@
     return this.options.clock.now();
   }
 
-  /** Whether this replica still takes part. */
+  /** False after the replica was stopped or a write failed. It then neither sends nor processes messages. */
   get isActive(): boolean {
     return !this.failed && !this.stopped;
   }
@@ -61,12 +60,12 @@
     return allReplicas(this.log.replicas).some((replica) => replica.identity === this.identity);
   }
 
-  /** The other replicas, learners included. */
+  /** The other replicas of the set, including learners. */
   get peers(): Replica[] {
     return allReplicas(this.log.replicas).filter((replica) => replica.identity !== this.identity);
   }
 
-  /** Whether this leader has committed an entry of its own term: then its commit index is current. */
+  /** Whether an entry of the current term is committed. Until then, a leader's commit index may be out of date. */
   get hasCommittedInTerm(): boolean {
     return this.log.termAt(this.commitIndex) === this.term;
   }
@@ -75,12 +74,12 @@
     if (this.isActive) this.options.transport.send(to, message);
   }
 
-  /** Runs `listener` whenever this replica stops leading. */
+  /** Registers a listener that is called whenever this replica loses leadership. */
   onStepDown(listener: () => void): void {
     this.stepDownListeners.push(listener);
   }
 
-  /** Becomes a follower of no known leader. */
+  /** Becomes a follower without a known leader. */
   stepDown(): void {
     const wasLeader = this.role === 'leader';
     this.role = 'follower';
@@ -92,24 +91,24 @@
     this.term = term;
     this.votedFor = '';
     this.stepDown();
-    // Writes are done in order, so whatever is answered in the new term comes after this one.
+    // No need to wait: writes are ordered, so this one is synced before any later response that depends on a write.
     this.saveHardState(() => undefined);
   }
 
-  /** Writes term and vote; calls back once they are synced. */
+  /** Writes term and vote to disk and calls `done` once they are synced. */
   saveHardState(done: () => void): void {
     const state: HardState = { term: this.term, votedFor: this.votedFor };
     this.options.storage.saveHardState(state, (error) => this.afterWrite(error, done));
   }
 
-  /** Writes entries that the log holds already; calls back once they and all before are synced. */
+  /** Writes entries of the log to disk and calls `done` once they and all earlier writes are synced. */
   writeEntries(entries: readonly LogEntry[], done: () => void): void {
     const first = entries[0];
     const last = entries.at(-1);
     if (first !== undefined) this.syncedIndex = Math.min(this.syncedIndex, first.index - 1);
     this.options.storage.appendEntries(entries, (error) => {
       this.afterWrite(error, () => {
-        // A later write may have replaced these entries meanwhile.
+        // The entries may have been replaced while the write was in progress.
         const isStillInLog = last !== undefined && this.log.termAt(last.index) === last.term;
         if (isStillInLog) this.syncedIndex = Math.max(this.syncedIndex, last.index);
         done();
@@ -117,7 +116,7 @@
     });
   }
 
-  /** Runs `done` after a write that was synced; takes no further part after one that failed. */
+  /** Calls `done` after a successful write. After a failed one the replica steps down and becomes inactive. */
   afterWrite(error: Error | undefined, done: () => void): void {
     if (!this.isActive) return;
     if (error === undefined) {
--- a/src/consensus/raft-types.ts
+++ b/src/consensus/raft-types.ts
@@ -1,20 +1,21 @@
 /**
- * Messages of the replicated log: Raft as in Ongaro, "Consensus: Bridging Theory and Practice" (2014),
- * with pre-vote (section 9.6), check-quorum (6.2), read index (6.4), learners and one-at-a-time
- * membership changes (4.1, 4.2).
+ * Messages and interfaces of the Raft implementation, which follows Ongaro, "Consensus: Bridging Theory and Practice"
+ * (2014): leader election with pre-vote (section 9.6) and check quorum (6.2), linearizable reads by read index (6.4),
+ * and membership changes of one server at a time, with learners (4.1, 4.2).
  */
 import type { Replica, ReplicaSet, LogEntry, Snapshot } from '../storage/persisted-state.js';
 
 interface MessageBase {
-  /** The sender, whom an answer goes to whether or not it is in the receiver's replica set. */
+  /** The sender. Responses go to it even if it is not in the receiver's replica set. */
   readonly from: Replica;
   readonly term: number;
 }
 
-/** Asks for a vote; with `preVote` only whether the vote would be given. */
+/** Requests a vote or, with `preVote`, asks whether the receiver would grant one. */
 export interface VoteRequest extends MessageBase {
   readonly type: 'vote-request';
   readonly preVote: boolean;
+  /** Index and term of the candidate's last log entry. */
   readonly lastIndex: number;
   readonly lastTerm: number;
 }
@@ -25,33 +26,37 @@
   readonly granted: boolean;
 }
 
-/** Replicates entries, or none as a heartbeat. */
+/** Replicates log entries; without entries it is a heartbeat. Raft's AppendEntries. */
 export interface AppendRequest extends MessageBase {
   readonly type: 'append-request';
+  /** Index and term of the entry that precedes `entries`. */
   readonly previousIndex: number;
   readonly previousTerm: number;
   readonly entries: readonly LogEntry[];
   readonly commitIndex: number;
-  /** Counts heartbeat rounds, to confirm leadership for reads. */
+  /** Number of the heartbeat round. A majority that answers it confirms the leader for reads. */
   readonly round: number;
 }
 
 export interface AppendResponse extends MessageBase {
   readonly type: 'append-response';
   readonly success: boolean;
-  /** On success the last index known to match; otherwise the highest index worth trying. */
+  /** On success the last index that matches the leader's log; otherwise the highest index that may match. */
   readonly matchIndex: number;
   readonly round: number;
 }
 
-/** Replaces the receiver's log up to the snapshot. Answered with an {@link AppendResponse}. */
+/**
+ * Replaces the receiver's log up to the snapshot's index. Answered with an {@link AppendResponse}. Raft's
+ * InstallSnapshot, in a single message.
+ */
 export interface SnapshotRequest extends MessageBase {
   readonly type: 'snapshot-request';
   readonly snapshot: Snapshot;
   readonly round: number;
 }
 
-/** A follower asks the leader for an index that is safe to read at. */
+/** Asks the leader for a read index on behalf of a follower. */
 export interface ReadRequest extends MessageBase {
   readonly type: 'read-request';
   readonly readId: number;
@@ -60,21 +65,23 @@
 export interface ReadResponse extends MessageBase {
   readonly type: 'read-response';
   readonly readId: number;
-  /** Index to wait for; undefined when the receiver does not lead. */
+  /** Index to apply before the read is served; undefined if the receiver is not the confirmed leader. */
   readonly readIndex: number | undefined;
 }
 
-/** The sender is in no replica set and asks to be let in as a learner. */
+/** Asks to be added to the replica set as a learner. */
 export interface JoinRequest extends MessageBase {
   readonly type: 'join-request';
 }
 
-/** A leader that stops asks the receiver to stand for election at once, without a pre-vote. */
+/**
+ * Sent by a leader that shuts down: the receiver starts an election at once, without a pre-vote. Raft's TimeoutNow.
+ */
 export interface ElectNow extends MessageBase {
   readonly type: 'elect-now';
 }
 
-/** A replica without a log asks what the others have. */
+/** Sent by a replica with an empty log to find out what the other replicas have stored. */
 export interface ProbeRequest extends MessageBase {
   readonly type: 'probe-request';
 }
@@ -84,13 +91,13 @@
   readonly found: ProbeFinding;
 }
 
-/** What a replica's disk holds. */
+/** What a replica has on disk. */
 export type ProbeFinding =
-  /** No log. `promised` is the replica set that this disk has promised to form, if any. */
+  /** No log. `promised` is the replica set that the replica has promised to form, if any. */
   | { readonly type: 'empty'; readonly promised: readonly Replica[] | undefined }
-  /** A replica set that was formed, and no entry yet. */
+  /** A replica set was formed, but the log has no entries yet. */
   | { readonly type: 'formed'; readonly replicas: ReplicaSet }
-  /** A log that has begun. */
+  /** The log has entries. */
   | { readonly type: 'log' };
 
 export type RaftMessage =
@@ -106,21 +113,21 @@
   | ProbeRequest
   | ProbeResponse;
 
-/** Where a message goes. */
+/** Destination of a message. */
 export interface MessageTarget {
   readonly origin: string;
-  /** The replica meant; a process of another identity drops the message. Empty for whoever runs. */
+  /** Identity of the receiver; a replica with another identity drops the message. Empty for any identity. */
   readonly identity: string;
 }
 
-/** Sends messages to replicas. Messages may be lost, repeated and reordered. */
+/** Sends messages to replicas. Messages may be lost, duplicated or reordered. */
 export interface RaftTransport {
   send(to: MessageTarget, message: RaftMessage): void;
 }
 
 /** The replicated state machine. */
 export interface StateMachine {
-  /** Applies a command and returns its result, which goes to the proposer. */
+  /** Applies a command. The result is returned to the proposer. */
   apply(data: Uint8Array): unknown;
   takeSnapshot(): Uint8Array;
   restoreSnapshot(data: Uint8Array): void;
--- a/src/consensus/replica-bootstrap.ts
+++ b/src/consensus/replica-bootstrap.ts
@@ -1,10 +1,9 @@
 /**
- * How a replica without a log begins. A new store is formed only by unanimous promise: each listed
- * replica, once it knows the identities of all, writes down that it forms this set and no other, and
- * only a set that all of them have promised is formed. A disk promises once, so two sets that have a
- * disk in common are the same set. Whoever has formed it passes it on. Where a log has begun already,
- * this replica joins: its own earlier disk may have held votes, so it never votes under its old
- * identity, and under its new one only after it has caught up.
+ * Bootstraps a replica without a log: forms a new replica set or joins an existing one. Once a replica knows the
+ * identities of all configured replicas, it durably promises to form exactly this set; the set is formed when all have
+ * promised the same one. A replica promises only once, so two overlapping sets can't both be formed. If another replica
+ * already has log entries, this one joins as a learner under its new identity: before it lost its disk it may have
+ * voted.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import { allReplicas } from './peer-progress.js';
@@ -17,7 +16,7 @@
 } from './raft-types.js';
 import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
-/** What the replica is to do. */
+/** Result of the bootstrap. */
 export type BootstrapDecision =
   { readonly type: 'form'; readonly replicas: ReplicaSet } | { readonly type: 'join' };
 
@@ -25,21 +24,21 @@
   readonly clock: Clock;
   readonly transport: RaftTransport;
   readonly self: Replica;
-  /** Origins of the other replicas listed in the settings. */
+  /** Origins of the other configured replicas. */
   readonly contacts: readonly string[];
-  /** Time between two probes, in milliseconds. */
+  /** Interval between probes, in milliseconds. */
   readonly probeIntervalMs: number;
-  /** What this disk has promised before. */
+  /** Replica set that this replica has promised before, as read from disk. */
   readonly promised: readonly Replica[] | undefined;
-  /** Writes a promise; calls back once it is synced, and not when that fails. */
+  /** Writes a promise to disk. Calls `done` once it is synced, and never if the write fails. */
   readonly savePromise: (replicas: readonly Replica[], done: () => void) => void;
   readonly onDecided: (decision: BootstrapDecision) => void;
 }
 
 export class ReplicaBootstrap {
-  /** The other replicas by origin, as last heard of. */
+  /** The other replicas as last reported, by origin. */
   private readonly knownReplicas = new Map<string, Replica>();
-  /** What the other replicas have promised, by origin. */
+  /** Replica sets promised by the other replicas, by origin. */
   private readonly promises = new Map<string, readonly Replica[]>();
   private promised: readonly Replica[] | undefined;
   private isPromiseStarted = false;
@@ -60,7 +59,7 @@
     this.timer?.cancel();
   }
 
-  /** Handles a message that came before the replica has a log. Others are dropped. */
+  /** Processes probe messages. All others are dropped until the bootstrap is complete. */
   receive(message: RaftMessage): void {
     if (this.decided) return;
     if (message.type === 'probe-request') this.respond(message.from);
@@ -75,7 +74,7 @@
         this.advance();
         return;
       case 'formed':
-        // A set that was formed with an earlier disk of this machine is of no use to this one.
+        // A set formed with an earlier identity of this replica does not include the current one.
         if (includes(found.replicas, this.options.self)) {
           this.decide({ type: 'form', replicas: found.replicas });
         }
@@ -100,7 +99,7 @@
     transport.send(to, { type: 'probe-response', from, term: 0, found });
   }
 
-  /** Promises once all are known; forms once all have promised the same. */
+  /** Makes a promise once all replicas are known, and forms the set once all have promised the same one. */
   private advance(): void {
     const { contacts } = this.options;
     const { promised } = this;
--- a/src/consensus/replica-changes.ts
+++ b/src/consensus/replica-changes.ts
@@ -1,29 +1,29 @@
 /**
- * Which change of the replica set the leader makes next: one replica at a time, so that any two
- * successive sets have a voter in common in every two majorities. Pure.
+ * Computes membership changes. Voters are added and removed one at a time, so that any majority of the old set overlaps
+ * with any majority of the new one.
  */
 import type { Replica, ReplicaSet } from '../storage/persisted-state.js';
 
-/** What the decision depends on. */
+/** What the leader knows about the replicas when it decides on a change. */
 export interface ReplicaObservations {
-  /** Whether the replica's log has caught up with the leader's. */
+  /** Whether the replica has synced all committed entries. */
   hasCaughtUp(identity: string): boolean;
-  /** Whether nothing was heard of the replica for several election timeouts. */
+  /** Whether the replica has not responded for several election timeouts. */
   isUnresponsive(identity: string): boolean;
-  /** Most voters of the set; a learner beyond them waits until one falls silent. */
+  /** Maximum number of voters. Further learners are promoted only to replace an unresponsive voter. */
   readonly maxVoters: number;
 }
 
-/** Adds a replica as a learner; undefined when the identity is in the set already. */
+/** Returns the set with the replica added as a learner; undefined if its identity is already in the set. */
 export function withLearner(set: ReplicaSet, replica: Replica): ReplicaSet | undefined {
   const known = [...set.voters, ...set.learners];
   if (known.some((other) => other.identity === replica.identity)) return undefined;
-  // A learner of the same name is an earlier disk of the same machine.
+  // A learner with the same name is the same replica before it lost its disk.
   const learners = set.learners.filter((learner) => learner.name !== replica.name);
   return { voters: set.voters, learners: [...learners, replica] };
 }
 
-/** Removes the replicas of a name; undefined when there is none, or no voter would be left. */
+/** Returns the set without the replicas of the given name; undefined if there are none or no voter would remain. */
 export function withoutReplica(set: ReplicaSet, name: string): ReplicaSet | undefined {
   const voters = set.voters.filter((voter) => voter.name !== name);
   const learners = set.learners.filter((learner) => learner.name !== name);
@@ -32,10 +32,10 @@
 }
 
 /**
- * The next step for the learners of a set. A learner that takes the place of a lost voter (same name,
- * other disk) first pushes the lost one out, and only once it has caught up: then the next loss finds
- * as many usable voters as before. A learner of a new name, where the set is full, takes the place of
- * a silent voter in the same way: its machine is taken to be gone.
+ * Returns the replica set after the next change; undefined if no change is due. A responsive learner that has caught up
+ * is promoted to voter. If it replaces a voter, that voter must be unresponsive and is removed first: the voter of the
+ * same name (the same replica before it lost its disk) or, if the set is full, any unresponsive one. Waiting for the
+ * learner to catch up keeps the set short of a voter only briefly.
  */
 export function nextReplicaChange(
   set: ReplicaSet,
--- a/src/consensus/replica-folder.ts
+++ b/src/consensus/replica-folder.ts
@@ -1,6 +1,6 @@
 /**
- * The two small files of a replica's data folder besides its log: the identity of the disk, and the replica set that this disk
- * has promised to form. Each is one checksummed record, replaced atomically.
+ * Reads and writes the identity and promise files of a replica's data folder. Each holds one checksummed record and is
+ * replaced atomically.
  */
 import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import { LogStorage } from '../storage/log-storage.js';
@@ -11,7 +11,7 @@
 const IDENTITY_FILE = 'identity';
 const PROMISE_FILE = 'promise';
 
-/** What the identity file holds. */
+/** Content of the identity file. */
 export type StoredIdentity =
   | { readonly type: 'none' }
   | { readonly type: 'damaged' }
@@ -20,7 +20,7 @@
 export class ReplicaFolder {
   constructor(private readonly files: StorageFiles) {}
 
-  /** Whether the folder has an identity, and so a log. */
+  /** Whether the folder has been created: the identity file is written last. */
   get isCreated(): boolean {
     return this.files.read(IDENTITY_FILE) !== undefined;
   }
@@ -33,7 +33,7 @@
     return { type: 'found', identity: decodeMessage<string>(payload) };
   }
 
-  /** Writes an empty log, then the identity: an identity without a log means a lost log. */
+  /** Writes an empty log, then the identity file, so that an identity without a log shows that the log was lost. */
   create(identity: string, done: FileCallback): void {
     LogStorage.create(this.files, (error) => {
       if (error === undefined) this.replace(IDENTITY_FILE, identity, done);
@@ -41,7 +41,7 @@
     });
   }
 
-  /** The promise of this disk; undefined before the first. */
+  /** Returns the replica set that this replica has promised to form; undefined if there is no promise. */
   readPromise(): readonly Replica[] | 'damaged' | undefined {
     const bytes = this.files.read(PROMISE_FILE);
     if (bytes === undefined) return undefined;
--- a/src/consensus/replica-host.ts
+++ b/src/consensus/replica-host.ts
@@ -1,8 +1,6 @@
 /**
- * One replica from its disk up: opens or creates the data folder, forms or joins the store, and
- * runs the {@link RaftNode}. Owns the phase of the replica, which the control program logs, and begins again from the disk
- * after a write that failed. Relies on `replica-folder.ts` and the log storage for what the disk holds, and on
- * `replica-bootstrap.ts` for how a store begins. Pure, like its parts.
+ * Manages the lifecycle of a replica: opens or creates the data folder, bootstraps or joins the replica set, runs the
+ * {@link RaftNode}, and restarts it from disk after a failed write.
  */
 import type { Clock } from '../common/clock.js';
 import type { RandomSource } from '../common/random.js';
@@ -25,38 +23,38 @@
   readonly name: string;
   readonly origin: string;
   readonly role: Replica['role'];
-  /** Origins of the other replicas listed in the settings. */
+  /** Origins of the other configured replicas. */
   readonly contacts: readonly string[];
-  /** Never forms a new store: takes the place of a lost replica, or adds one. */
+  /** Joins an existing replica set instead of forming one, to replace a lost replica or add a new one. */
   readonly join: boolean;
   readonly electionTimeoutMs: number;
   readonly snapshotInterval?: number | undefined;
-  /** Most voters of the set; see `RaftOptions`. */
+  /** See `RaftOptions.maxVoters`. */
   readonly voterTarget?: number | undefined;
-  /** Draws the identity of an empty disk. Must never give the same one twice. */
+  /** Generates the identity of a new data folder. Must never return the same value twice. */
   readonly drawIdentity: () => string;
-  /** Called when the replica starts to take part, and when it can't any more. */
+  /** Called on every phase change. `problem` says why the replica is not running. */
   readonly onPhase?: (phase: ReplicaPhase, problem: string | undefined) => void;
-  /** Parts of the node in place of the usual ones; see {@link RaftNode}. */
+  /** Replaces classes of the {@link RaftNode}; for the simulator. */
   readonly parts?: RaftParts | undefined;
 }
 
-/** How far the replica has come. */
+/** Lifecycle phase of a replica. */
 export type ReplicaPhase =
   /** Writing a new data folder. */
   | 'creating'
-  /** Waiting for the other replicas, to form a new store with them or to join theirs. */
+  /** Waiting for the other replicas, to form a new replica set or join theirs. */
   | 'bootstrapping'
   | 'running'
-  /** The data folder can't be trusted: this replica neither votes nor stores. */
+  /** The data folder is corrupted. The replica neither votes nor stores entries. */
   | 'damaged'
-  /** A write or sync failed: this replica neither votes nor stores until its disk takes writes again. */
+  /** A write or sync failed. The replica neither votes nor stores entries until writes succeed again. */
   | 'failed'
   | 'stopped';
 
-/** Probes in an election timeout while a replica waits for the others. */
+/** Probes sent per election timeout while bootstrapping. */
 const PROBES_PER_TIMEOUT = 2;
-/** A replica whose disk refused a write tries again after this long, in milliseconds. */
+/** Delay before the data folder is reopened after a failed write. */
 const REOPEN_DELAY_MS = 1_000;
 
 export class ReplicaHost {
@@ -66,7 +64,7 @@
   private storage: LogStorage | undefined;
   private node: RaftNode | undefined;
   private bootstrap: ReplicaBootstrap | undefined;
-  /** The state machine before any command; a log without a snapshot is applied on top of it. */
+  /** Snapshot of the state machine before any command, from which a log without a snapshot is replayed. */
   private emptyState: Uint8Array | undefined;
 
   private readonly folder: ReplicaFolder;
@@ -79,17 +77,17 @@
     return this.currentPhase;
   }
 
-  /** Why the replica does not take part fully. */
+  /** Why the replica is not fully operational. */
   get problem(): string | undefined {
     return this.currentProblem;
   }
 
-  /** Identity of the disk; undefined until it is written. */
+  /** Identity of the replica; undefined until the data folder is open. */
   get identity(): string | undefined {
     return this.self?.identity;
   }
 
-  /** State of the log; undefined until the replica takes part. */
+  /** Status of the {@link RaftNode}; undefined until it is created. */
   get raftStatus(): RaftStatus | undefined {
     return this.node?.status();
   }
@@ -110,7 +108,7 @@
     this.setPhase('stopped', undefined);
   }
 
-  /** Handles a message. `to` is the identity it was sent to; empty for whoever runs here. */
+  /** Processes a message. `to` is the identity of its receiver; empty for any identity. */
   receive(to: string, message: RaftMessage): void {
     if (to !== '' && to !== this.identity) return;
     if (this.node !== undefined) this.node.receive(message);
@@ -127,7 +125,7 @@
     else callback(false);
   }
 
-  /** Removes the replicas of a name. @returns false when this replica can't do that now */
+  /** Removes all replicas with the given name. @returns false if that is not possible now */
   removeReplica(name: string): boolean {
     return this.node?.removeReplica(name) ?? false;
   }
@@ -146,8 +144,8 @@
   }
 
   /**
-   * Begins again from what the disk holds. What was refused was never acknowledged; what is there is
-   * written anew, since a sync that failed once says nothing of the writes before it.
+   * Restarts the replica from disk. Failed writes were never acknowledged, so they can be dropped. The stored log is
+   * rewritten first, because after a failed sync the state of earlier writes is unknown.
    */
   private reopen(): void {
     if (this.currentPhase !== 'failed') return;
@@ -192,7 +190,7 @@
   private bootstrapOrRun(self: Replica, storage: LogStorage, persisted: PersistedState): void {
     const hasLog = persisted.snapshot !== undefined || persisted.entries.length > 0;
     const promised = this.folder.readPromise();
-    // A disk that has promised goes on forming its set, whatever the settings say since.
+    // After a promise the replica must continue to form that set, even if `join` has been set since.
     if (hasLog || (this.options.join && promised === undefined)) {
       this.run(self, storage, persisted);
       return;
--- a/test/consensus/raft-mechanisms.test.ts
+++ b/test/consensus/raft-mechanisms.test.ts
@@ -7,7 +7,7 @@
   return NAMES.filter((other) => other !== name);
 }
 
-/** Cuts the leader off and waits until the others have a leader of their own. */
+/** Isolates the leader and waits until the other nodes have elected a new one. */
 function splitLeader(cluster: RaftCluster): { old: string; new: string } {
   const old = cluster.electLeader();
   cluster.isolate(old);
--- a/test/consensus/replica-bootstrap.test.ts
+++ b/test/consensus/replica-bootstrap.test.ts
@@ -11,7 +11,7 @@
 const FIRST = [replica('a', 1), replica('b', 1), replica('c', 1)];
 const WITH_NEW_A = [replica('a', 2), replica('b', 1), replica('c', 1)];
 
-/** The bootstrap of `b`, whose disk has promised what is given. */
+/** The bootstrap of replica `b` with the given promise on its disk. */
 class Bootstrap {
   decision: BootstrapDecision | undefined;
   promise: readonly Replica[] | undefined;
--- a/test/consensus/replication-simulation.test.ts
+++ b/test/consensus/replication-simulation.test.ts
@@ -8,9 +8,9 @@
 
 const SEEDS = 1_000;
 const SEEDS_WITHOUT_MECHANISM = 60;
-/** Seeds outside the range that once broke a promise. */
+/** Seeds outside the range that found violations. */
 const EARLIER_FAILURES = [
-  // A store was formed on an answer that another replica had given before it formed its own.
+  // A second replica set was formed from an outdated probe response.
   40_670,
 ];
 const FAULT_MS = 8_000;
