--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,19 +1,19 @@
 /**
- * Elections with pre-vote: decides when to stand, whom to vote for, and when a majority is reached. Owns the election timer and the
- * votes of the election under way; term and vote are in the shared state, on disk before a vote is sent.
+ * Leader election with pre-vote: runs the election timer, requests and grants votes, and counts the votes received.
+ * Term and vote are synced to disk before a vote is granted.
  */
 import type { Timer } from '../common/clock.js';
 import { isMajority } from './peer-progress.js';
 import type { RaftState } from './raft-state.js';
 import type { ElectNow, VoteRequest, VoteResponse } from './raft-types.js';
 
-/** After this many timeouts in a row without a leader, a replica may have been put out of its set. */
+/** After more than this many consecutive timeouts, the replica asks to join the set: it may have been removed. */
 const TIMEOUTS_BEFORE_REJOIN = 3;
 
 export class Election {
   private timer: Timer | undefined;
-  /** Timeouts in a row without a leader. */
-  private lonelyTimeouts = 0;
+  /** Consecutive election timeouts without a message from a leader. */
+  private timeoutsWithoutLeader = 0;
   private votes = new Set<string>();
 
   constructor(
@@ -21,7 +21,7 @@
     private readonly onElected: () => void,
   ) {}
 
-  /** Waits a random time of one to two election timeouts before standing. */
+  /** Restarts the election timer with a random delay of one to two election timeouts. */
   resetTimer(): void {
     this.timer?.cancel();
     const { options } = this.state;
@@ -37,12 +37,12 @@
     const { state } = this;
     const isUpToDate = state.log.isUpToDate(request.lastIndex, request.lastTerm);
     if (request.preVote) {
-      const granted = request.term > state.term && isUpToDate && !this.hasLeader();
+      const granted = request.term > state.term && isUpToDate && !this.hasRecentLeader();
       this.respond(request, granted);
       return;
     }
-    const isFree = state.votedFor === '' || state.votedFor === request.from.identity;
-    if (request.term < state.term || !isFree || !isUpToDate) {
+    const canVote = state.votedFor === '' || state.votedFor === request.from.identity;
+    if (request.term < state.term || !canVote || !isUpToDate) {
       this.respond(request, false);
       return;
     }
@@ -64,7 +64,7 @@
     this.countVotes();
   }
 
-  /** The leader stops and has chosen this replica as the one to follow it. */
+  /** Starts an election at once, because the leader is shutting down and chose this replica as its successor. */
   onElectNow(message: ElectNow): void {
     const { state } = this;
     const isFromLeader = state.leader?.identity === message.from.identity;
@@ -72,26 +72,26 @@
   }
 
   private onTimeout(): void {
-    if (!this.state.active) return;
+    if (!this.state.isActive) return;
     this.resetTimer();
     if (this.state.role === 'leader') {
-      this.lonelyTimeouts = 0;
+      this.timeoutsWithoutLeader = 0;
       return;
     }
     this.state.leader = undefined;
-    this.lonelyTimeouts += 1;
-    const mayBeRemoved = this.lonelyTimeouts > TIMEOUTS_BEFORE_REJOIN;
-    if (!this.state.isMember || mayBeRemoved) this.askToJoin();
+    this.timeoutsWithoutLeader += 1;
+    const mayBeRemoved = this.timeoutsWithoutLeader > TIMEOUTS_BEFORE_REJOIN;
+    if (!this.state.isMember || mayBeRemoved) this.sendJoinRequests();
     if (this.state.isVoter) this.stand();
   }
 
-  /** A leader was heard. */
-  onLeader(): void {
-    this.lonelyTimeouts = 0;
+  /** Resets the election timeout after a message from the leader. */
+  onLeaderMessage(): void {
+    this.timeoutsWithoutLeader = 0;
     this.resetTimer();
   }
 
-  private askToJoin(): void {
+  private sendJoinRequests(): void {
     const { state } = this;
     const { self: from, term } = state;
     const origins = new Set([...state.options.contacts, ...state.peers.map((peer) => peer.origin)]);
@@ -100,9 +100,9 @@
     }
   }
 
-  /** Asks first whether the others would elect this replica: one that was cut off raises no term when it returns. */
+  /** Starts with a pre-vote, so that a replica that was partitioned does not disrupt the leader with a higher term. */
   protected stand(): void {
-    this.askForVotes('pre-candidate');
+    this.requestVotes('pre-candidate');
   }
 
   protected becomeCandidate(): void {
@@ -113,11 +113,11 @@
     state.leader = undefined;
     const { term } = state;
     state.saveHardState(() => {
-      if (state.term === term && state.role === 'candidate') this.askForVotes('candidate');
+      if (state.term === term && state.role === 'candidate') this.requestVotes('candidate');
     });
   }
 
-  private askForVotes(role: 'pre-candidate' | 'candidate'): void {
+  private requestVotes(role: 'pre-candidate' | 'candidate'): void {
     const { state } = this;
     state.role = role;
     this.votes = new Set([state.identity]);
@@ -145,11 +145,11 @@
     else if (state.role === 'candidate') this.onElected();
   }
 
-  /** Whether this replica leads, or heard from a leader within an election timeout. */
-  private hasLeader(): boolean {
+  /** Whether this replica leads or received a leader's message within the election timeout. */
+  private hasRecentLeader(): boolean {
     const { state } = this;
-    const silentMs = state.now - state.heardFromLeaderAt;
-    return state.role === 'leader' || silentMs < state.options.electionTimeoutMs;
+    const sinceLeaderMessageMs = state.now - state.lastLeaderMessageAt;
+    return state.role === 'leader' || sinceLeaderMessageMs < state.options.electionTimeoutMs;
   }
 
   private respond(request: VoteRequest, granted: boolean): void {
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,7 +1,6 @@
 /**
- * What the leader decides: what is committed, whether it still leads, which reads it may answer, and the next change of the
- * replica set. Owns the heartbeat's timer and the time up to which a majority has confirmed this leader; it relies on
- * `peer-replication.ts` for what the other replicas have, and on `replica-changes.ts` for the order of changes.
+ * The leader's side of Raft: appends entries, sends heartbeats, advances the commit index, confirms leadership for
+ * reads and changes the replica set.
  */
 import type { Timer } from '../common/clock.js';
 import type { AppliedLog } from './applied-log.js';
@@ -14,15 +13,15 @@
 import type { EntryPayload, LogEntry, Replica, ReplicaSet } from '../storage/persisted-state.js';
 import { nextReplicaChange, withLearner, withoutReplica } from './replica-changes.js';
 
-/** Heartbeats in an election timeout: four may be lost before a replica stands for election. */
+/** Heartbeats per election timeout, so that a few lost messages don't trigger an election. */
 const HEARTBEATS_PER_TIMEOUT = 5;
-/** A voter is silent after this many election timeouts without an answer: longer than an election. */
-const SILENT_TIMEOUTS = 3;
+/** Election timeouts without a response after which a replica counts as unresponsive. Longer than an election. */
+const UNRESPONSIVE_TIMEOUTS = 3;
 
 export class Leadership {
   private readonly peers: PeerReplication;
   private timer: Timer | undefined;
-  /** Start of the newest round that a majority has answered; undefined before the first. */
+  /** Start of the newest heartbeat round that a majority has answered; undefined before the first. */
   private confirmedSince: number | undefined;
 
   constructor(
@@ -31,7 +30,7 @@
     private readonly reads: PendingReads,
   ) {
     this.peers = new PeerReplication(state);
-    state.onStepDown(() => this.end());
+    state.onStepDown(() => this.endLeadership());
   }
 
   /** See `RaftStatus.confirmedAt`. */
@@ -39,8 +38,8 @@
     return this.state.role === 'leader' ? this.confirmedSince : undefined;
   }
 
-  /** This replica was elected. */
-  begin(): void {
+  /** Starts leading after an election was won. */
+  becomeLeader(): void {
     const { state } = this;
     state.role = 'leader';
     state.leader = state.self;
@@ -49,8 +48,8 @@
     this.heartbeat();
   }
 
-  /** Stops leading; the most up-to-date voter is asked to take over at once. */
-  resign(): void {
+  /** Steps down and asks the most up-to-date voter to start an election at once. */
+  transferLeadership(): void {
     const { state } = this;
     const [successor] = state.log.replicas.voters
       .filter((voter) => voter.identity !== state.identity)
@@ -60,17 +59,17 @@
     state.stepDown();
   }
 
-  /** Replicates an entry. `callback` is called when it is applied here. */
+  /** Appends an entry to the log and replicates it. `callback` receives the outcome. */
   append(payload: EntryPayload, callback?: ProposalCallback): void {
     const { state } = this;
     const entry: LogEntry = { index: state.log.lastIndex + 1, term: state.term, payload };
-    if (callback !== undefined) this.applied.expect(entry.index, entry.term, callback);
+    if (callback !== undefined) this.applied.trackProposal(entry.index, entry.term, callback);
     state.log.merge([entry]);
     state.writeEntries([entry], () => this.advanceCommit());
     this.peers.sendToAll();
   }
 
-  /** Removes the replicas of a name. @returns false when that is not possible now */
+  /** Removes all replicas with the given name. @returns false if that is not possible now */
   removeReplica(name: string): boolean {
     const next = withoutReplica(this.state.log.replicas, name);
     if (next === undefined || !this.mayChangeReplicas()) return false;
@@ -78,7 +77,7 @@
     return true;
   }
 
-  /** Lets a replica in as a learner; a follower passes the request on to the leader it knows. */
+  /** Adds the sender as a learner. A follower forwards the request to the leader. */
   onJoinRequest(request: JoinRequest): void {
     const { leader, role } = this.state;
     if (role !== 'leader' && leader !== undefined && leader.identity !== request.from.identity) {
@@ -100,8 +99,8 @@
   }
 
   /**
-   * Calls back with an index that is safe to read at once a majority has confirmed this leader;
-   * with undefined when that fails.
+   * Calls `callback` with a read index once a majority has confirmed this leader; with undefined if leadership can't be
+   * confirmed.
    */
   confirmRead(callback: (index: number | undefined) => void): void {
     const { state } = this;
@@ -115,7 +114,7 @@
     this.confirmReads();
   }
 
-  private end(): void {
+  private endLeadership(): void {
     this.timer?.cancel();
     this.peers.clear();
     this.confirmedSince = undefined;
@@ -124,12 +123,12 @@
   }
 
   private matchIndexOf({ identity }: Replica): number {
-    return this.peers.of(identity).matchIndex;
+    return this.peers.progressOf(identity).matchIndex;
   }
 
   /**
-   * The first entry of a term, which a leader commits to learn what was acknowledged before it. In an empty log it is the
-   * replica set, so that every log holds the same one; in any other, in a set of one replica too, it is a `noop`.
+   * Payload of the first entry of a term. A leader must commit an entry of its own term before its commit index covers
+   * earlier terms. In an empty log the entry holds the replica set, otherwise it is a `noop`.
    */
   private firstPayload(): EntryPayload {
     const { log } = this.state;
@@ -139,7 +138,7 @@
 
   private heartbeat(): void {
     const { state } = this;
-    if (!state.active || state.role !== 'leader') return;
+    if (!state.isActive || state.role !== 'leader') return;
     if (!this.hasQuorum()) {
       state.stepDown();
       return;
@@ -152,22 +151,26 @@
     this.timer = state.options.clock.schedule(intervalMs, () => this.heartbeat());
   }
 
-  /** Whether a majority has answered within an election timeout. */
+  /** Check quorum: whether a majority of voters has responded within the election timeout. */
   protected hasQuorum(): boolean {
     const { state } = this;
     const since = state.now - state.options.electionTimeoutMs;
     const answered = state.log.replicas.voters.filter(
-      ({ identity }) => identity === state.identity || this.peers.of(identity).heardAt >= since,
+      ({ identity }) =>
+        identity === state.identity || this.peers.progressOf(identity).lastResponseAt >= since,
     );
     return isMajority(answered.length, state.log.replicas);
   }
 
-  /** Commits what a majority has on disk. Only entries of the leader's own term are counted. */
+  /**
+   * Commits entries that a majority has synced. Only an entry of the current term is committed by counting replicas;
+   * earlier entries are committed along with it.
+   */
   private advanceCommit(): void {
     const { state } = this;
     if (state.role !== 'leader') return;
     const index = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? state.syncedIndex : this.peers.of(identity).matchIndex,
+      identity === state.identity ? state.syncedIndex : this.peers.progressOf(identity).matchIndex,
     );
     if (index <= state.commitIndex || state.log.termAt(index) !== state.term) return;
     this.applied.commitUpTo(index);
@@ -176,13 +179,13 @@
   }
 
   /**
-   * A majority that answers the round confirms the leader as of now: no other one had been elected by then, so nothing
-   * unknown here had been acknowledged.
+   * Starts a heartbeat round. When a majority has answered it, no other leader can have been elected before the round
+   * started, so every change acknowledged until then is in this leader's log.
    */
   private beginRound(): void {
     const round = this.peers.beginRound();
     const { state, reads } = this;
-    // Before its first commit a leader does not know yet what was acknowledged.
+    // Before its first commit in this term, the commit index may miss entries acknowledged by an earlier leader.
     if (!state.hasCommittedInTerm) return;
     const { now, commitIndex } = state;
     reads.addUnconfirmed(round, commitIndex, (index) => {
@@ -193,34 +196,37 @@
   private confirmReads(): void {
     const { state } = this;
     const confirmedRound = majorityValue(state.log.replicas, (identity) =>
-      identity === state.identity ? this.peers.round : this.peers.of(identity).answeredRound,
+      identity === state.identity
+        ? this.peers.round
+        : this.peers.progressOf(identity).answeredRound,
     );
     this.reads.onConfirmed(confirmedRound);
   }
 
-  /** A set may be changed once the last change, and an entry of this term, are committed. */
+  /** Whether the replica set may be changed: the previous change and an entry of this term must be committed. */
   private mayChangeReplicas(): boolean {
     const { state } = this;
-    const isSettled = state.log.replicasIndex <= state.commitIndex;
-    return state.role === 'leader' && state.hasCommittedInTerm && isSettled;
+    const isLastChangeCommitted = state.log.replicasIndex <= state.commitIndex;
+    return state.role === 'leader' && state.hasCommittedInTerm && isLastChangeCommitted;
   }
 
   private changeReplicas(): void {
     if (!this.mayChangeReplicas()) return;
     const { state } = this;
-    const silentMs = SILENT_TIMEOUTS * state.options.electionTimeoutMs;
+    const unresponsiveMs = UNRESPONSIVE_TIMEOUTS * state.options.electionTimeoutMs;
     const next = nextReplicaChange(state.log.replicas, {
       hasCaughtUp: (identity) => this.hasCaughtUp(identity),
-      isSilent: (identity) =>
-        identity !== state.identity && state.now - this.peers.of(identity).heardAt > silentMs,
-      voterTarget: state.options.voterTarget ?? Infinity,
+      isUnresponsive: (identity) =>
+        identity !== state.identity &&
+        state.now - this.peers.progressOf(identity).lastResponseAt > unresponsiveMs,
+      maxVoters: state.options.maxVoters ?? Infinity,
     });
     if (next !== undefined) this.appendReplicas(next);
   }
 
-  /** Whether the replica has everything that is committed on its disk: a voter without it could not be counted on. */
+  /** Whether the replica has synced all committed entries. A learner must do so before it becomes a voter. */
   protected hasCaughtUp(identity: string): boolean {
-    return this.peers.of(identity).matchIndex >= this.state.commitIndex;
+    return this.peers.progressOf(identity).matchIndex >= this.state.commitIndex;
   }
 
   private appendReplicas(replicas: ReplicaSet): void {
