--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -23,7 +23,7 @@
 /** The clocks of the operating system that tell a suspended machine from one whose time of day was set. */
 export interface ClockSources {
   /** Monotonic milliseconds; stands still while the machine is suspended. */
-  steadyMs(): number;
+  monotonicMs(): number;
   /** Milliseconds since 1970; goes on meanwhile, and steps when it is set. */
   wallMs(): number;
   /** Milliseconds since the machine was started; goes on meanwhile. Costs a read of a file on Linux. */
@@ -31,7 +31,7 @@
 }
 
 const SYSTEM_SOURCES: ClockSources = {
-  steadyMs: () => performance.now(),
+  monotonicMs: () => performance.now(),
   wallMs: () => Date.now(),
   uptimeMs: () => uptime() * MS_PER_SECOND,
 };
@@ -39,7 +39,7 @@
 /** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. */
 const MIN_SUSPENSION_MS = 100;
 /** Most by which the two clocks that go on may differ over a suspension, in milliseconds. */
-const TOLERANCE_MS = 60;
+const MAX_CLOCK_DIFFERENCE_MS = 60;
 
 /**
  * The clock of a real process. Counts the time for which the machine was suspended: leases, deadlines and elections of a
@@ -49,22 +49,22 @@
 export class SystemClock implements Clock {
   private suspendedMs = 0;
   /** How far the other clocks are ahead of the steady one. */
-  private wallLeadMs: number;
-  private uptimeLeadMs: number;
+  private wallOffsetMs: number;
+  private uptimeOffsetMs: number;
   private readonly timers = new Set<SystemTimer>();
 
   constructor(private readonly sources: ClockSources = SYSTEM_SOURCES) {
-    const steadyMs = sources.steadyMs();
-    this.wallLeadMs = sources.wallMs() - steadyMs;
-    this.uptimeLeadMs = sources.uptimeMs() - steadyMs;
+    const monotonicMs = sources.monotonicMs();
+    this.wallOffsetMs = sources.wallMs() - monotonicMs;
+    this.uptimeOffsetMs = sources.uptimeMs() - monotonicMs;
   }
 
   now(): number {
-    const steadyMs = this.sources.steadyMs();
-    const leadMs = this.sources.wallMs() - steadyMs;
-    if (Math.abs(leadMs - this.wallLeadMs) >= MIN_SUSPENSION_MS)
-      this.onLeadChanged(leadMs, steadyMs);
-    return steadyMs + this.suspendedMs;
+    const monotonicMs = this.sources.monotonicMs();
+    const wallOffsetMs = this.sources.wallMs() - monotonicMs;
+    if (Math.abs(wallOffsetMs - this.wallOffsetMs) >= MIN_SUSPENSION_MS)
+      this.onWallOffsetChanged(wallOffsetMs, monotonicMs);
+    return monotonicMs + this.suspendedMs;
   }
 
   schedule(delayMs: number, callback: () => void): Timer {
@@ -74,15 +74,16 @@
   }
 
   /** The time of day was set, or the machine was suspended: then both other clocks have gained the same. */
-  private onLeadChanged(wallLeadMs: number, steadyMs: number): void {
-    const uptimeLeadMs = this.sources.uptimeMs() - steadyMs;
-    const gainedMs = uptimeLeadMs - this.uptimeLeadMs;
-    const isAgreed = Math.abs(gainedMs - (wallLeadMs - this.wallLeadMs)) <= TOLERANCE_MS;
-    this.wallLeadMs = wallLeadMs;
-    this.uptimeLeadMs = uptimeLeadMs;
-    if (gainedMs < MIN_SUSPENSION_MS || !isAgreed) return;
+  private onWallOffsetChanged(wallOffsetMs: number, monotonicMs: number): void {
+    const uptimeOffsetMs = this.sources.uptimeMs() - monotonicMs;
+    const gainedMs = uptimeOffsetMs - this.uptimeOffsetMs;
+    const clocksAgree =
+      Math.abs(gainedMs - (wallOffsetMs - this.wallOffsetMs)) <= MAX_CLOCK_DIFFERENCE_MS;
+    this.wallOffsetMs = wallOffsetMs;
+    this.uptimeOffsetMs = uptimeOffsetMs;
+    if (gainedMs < MIN_SUSPENSION_MS || !clocksAgree) return;
     this.suspendedMs += gainedMs;
-    for (const timer of this.timers) timer.arm(timer.dueAt - steadyMs - this.suspendedMs);
+    for (const timer of this.timers) timer.arm(timer.dueAt - monotonicMs - this.suspendedMs);
   }
 }
 
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -66,14 +66,14 @@
 }
 
 /** What is known without an answer: nothing, so the request may have run. */
-const NO_ANSWER: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
+const NO_RESPONSE: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
 
 /**
  * A request to the resource API that was refused or whose answer was lost. Takes what is known as
  * `props: { status, verdict }`.
  */
 export const RequestError = ShoredoorError.subclass('RequestError', {
-  props: NO_ANSWER,
+  props: NO_RESPONSE,
   custom: class extends ShoredoorError {
     override get code(): string {
       return 'SHOREDOOR_REQUEST';
--- a/src/common/sliding-count.ts
+++ b/src/common/sliding-count.ts
@@ -6,12 +6,12 @@
  */
 
 /** Steps of a window: with 20 an event counts for up to a twentieth of the window too long. */
-const STEPS = 20;
+const STEPS_PER_WINDOW = 20;
 /** The window covers one step more than it is long, so that no event is forgotten early. */
-const PLACES = STEPS + 1;
+const BUCKET_COUNT = STEPS_PER_WINDOW + 1;
 
 export class SlidingCount {
-  private readonly amounts = new Float64Array(PLACES);
+  private readonly buckets = new Float64Array(BUCKET_COUNT);
   private readonly stepMs: number;
   /** Number of the newest step. */
   private step = -Infinity;
@@ -19,7 +19,7 @@
 
   /** @param windowMs length of the window in milliseconds */
   constructor(windowMs: number) {
-    this.stepMs = windowMs / STEPS;
+    this.stepMs = windowMs / STEPS_PER_WINDOW;
   }
 
   /** Events that count now. */
@@ -34,44 +34,45 @@
    */
   add(now: number, amount = 1): number {
     this.advance(now);
-    this.change(this.step, amount);
+    this.addToBucket(this.step, amount);
     return this.step;
   }
 
   /** Takes an event back that counted in `step`, unless it has left the window. */
   remove(step: number, now: number): void {
     this.advance(now);
-    if (step >= this.step - STEPS && this.amounts[placeOf(step)]! > 0) this.change(step, -1);
+    if (step >= this.step - STEPS_PER_WINDOW && this.buckets[bucketIndex(step)]! > 0)
+      this.addToBucket(step, -1);
   }
 
   /** Milliseconds until the oldest events stop counting; 0 where none counts. For whole events alone. */
   msToNextExpiry(now: number): number {
     this.advance(now);
     if (this.sum === 0) return 0;
-    let oldest = this.step - STEPS;
-    while (this.amounts[placeOf(oldest)] === 0) oldest += 1;
-    return (oldest + PLACES) * this.stepMs - now;
+    let oldest = this.step - STEPS_PER_WINDOW;
+    while (this.buckets[bucketIndex(oldest)] === 0) oldest += 1;
+    return (oldest + BUCKET_COUNT) * this.stepMs - now;
   }
 
-  private change(step: number, by: number): void {
-    this.amounts[placeOf(step)]! += by;
-    this.sum += by;
+  private addToBucket(step: number, amount: number): void {
+    this.buckets[bucketIndex(step)]! += amount;
+    this.sum += amount;
   }
 
   /** Forgets the steps that have left the window, the newest first. */
   private advance(now: number): void {
     const step = Math.floor(now / this.stepMs);
-    const passed = Math.min(step - this.step, PLACES);
-    for (let each = 0; each < passed; each += 1) this.clear(placeOf(step - each));
-    if (passed > 0) this.step = step;
+    const elapsedSteps = Math.min(step - this.step, BUCKET_COUNT);
+    for (let age = 0; age < elapsedSteps; age += 1) this.clearBucket(bucketIndex(step - age));
+    if (elapsedSteps > 0) this.step = step;
   }
 
-  private clear(place: number): void {
-    this.sum -= this.amounts[place]!;
-    this.amounts[place] = 0;
+  private clearBucket(index: number): void {
+    this.sum -= this.buckets[index]!;
+    this.buckets[index] = 0;
   }
 }
 
-function placeOf(step: number): number {
-  return ((step % PLACES) + PLACES) % PLACES;
+function bucketIndex(step: number): number {
+  return ((step % BUCKET_COUNT) + BUCKET_COUNT) % BUCKET_COUNT;
 }
--- a/src/policy/group-schema.ts
+++ b/src/policy/group-schema.ts
@@ -33,13 +33,13 @@
 export type GroupResource = z.input<typeof groupResourceSchema>;
 
 /** A group and its place among the resources of a set. */
-export interface PlacedGroup {
+export interface IndexedGroup {
   readonly index: number;
   readonly group: GroupResource;
 }
 
 /** Keys that two groups hold. The faults name the groups, not the keys. */
-export function sharedKeyFaults(groups: readonly PlacedGroup[]): Fault[] {
+export function sharedKeyFaults(groups: readonly IndexedGroup[]): Fault[] {
   const owners = new Map<string, string>();
   const faults: Fault[] = [];
   for (const { index, group } of groups) {
--- a/src/policy/group-table.ts
+++ b/src/policy/group-table.ts
@@ -23,22 +23,22 @@
 /** Share of a group that no policy names, relative to declared shares: it gets what the others leave. */
 const UNKNOWN_GROUP_SHARE = 1e-3;
 /** Groups of a declared set have equal shares. */
-const DECLARED_SHARE = 1;
+const SET_GROUP_SHARE = 1;
 
 export class GroupTable {
   private readonly byName = new Map<string, Group>();
   private readonly byKeyHash = new Map<string, Group>();
   private readonly byKey = new Map<string, Group>();
   private declaredShare = 0;
-  private resourceCount = 0;
+  private setGroupCount = 0;
 
   /** Whether callers of routes have to present a key: a set declares groups. */
   get needsKeys(): boolean {
-    return this.resourceCount > 0;
+    return this.setGroupCount > 0;
   }
 
   /** Adds a group of a policy. */
-  addDeclaration({ name, share, keyHashes }: GroupDeclaration): void {
+  addPolicyGroup({ name, share, keyHashes }: GroupDeclaration): void {
     const group: Group = { name, share, rank: 0, rate: undefined };
     this.add(group);
     for (const keyHash of keyHashes) this.byKeyHash.set(keyHash, group);
@@ -51,9 +51,9 @@
       ratePerSecond === undefined || ratePerSecond === null || ratePerSecond === 0
         ? undefined
         : { perSecond: ratePerSecond, burst: burst ?? 0 };
-    const group: Group = { name, share: DECLARED_SHARE, rank, rate };
+    const group: Group = { name, share: SET_GROUP_SHARE, rank, rate };
     this.add(group);
-    this.resourceCount += 1;
+    this.setGroupCount += 1;
     for (const key of keys) this.byKey.set(key, group);
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** The group whose callers present an API key with this SHA-256 hash, or undefined. */
-  ofKeyHash(keyHash: string): Group | undefined {
+  findByKeyHash(keyHash: string): Group | undefined {
     return this.byKeyHash.get(keyHash);
   }
 
--- a/src/policy/policy-conflicts.ts
+++ b/src/policy/policy-conflicts.ts
@@ -9,13 +9,13 @@
 class NameOwners {
   private readonly ownerByName = new Map<string, string>();
 
-  constructor(private readonly what: string) {}
+  constructor(private readonly subject: string) {}
 
   claim(name: string, owner: string, path: string, faults: Fault[]): void {
     const other = this.ownerByName.get(name);
     if (other === undefined) this.ownerByName.set(name, owner);
     else if (other !== owner) {
-      faults.push({ path, message: `${this.what} '${name}' is already declared by ${other}` });
+      faults.push({ path, message: `${this.subject} '${name}' is already declared by ${other}` });
     }
   }
 }
--- a/src/policy/policy-table.ts
+++ b/src/policy/policy-table.ts
@@ -42,7 +42,7 @@
 /** Compiled lookups over all declared resources of one revision. */
 export class PolicyTable {
   private readonly kindsByName = new Map<string, RequestKind>();
-  private readonly routesByMethod = new Map<string, KindPattern[]>();
+  private readonly kindPatternsByMethod = new Map<string, KindPattern[]>();
   private readonly servicesByName = new Map<string, ServiceSpec>();
   private readonly quarantines = new Map<string, QuarantineResource['spec']>();
   private defaultGroup: Group | undefined;
@@ -71,8 +71,8 @@
     }
     this.routes = new RouteTable(routes);
     this.ingress = ingressLimits(ingress);
-    for (const routes of this.routesByMethod.values()) {
-      routes.sort((a, b) => b.pattern.specificity - a.pattern.specificity);
+    for (const patterns of this.kindPatternsByMethod.values()) {
+      patterns.sort((a, b) => b.pattern.specificity - a.pattern.specificity);
     }
   }
 
@@ -82,7 +82,7 @@
   }
 
   private addPolicy(policy: PolicyResource): void {
-    for (const declaration of policy.spec.groups) this.groups.addDeclaration(declaration);
+    for (const declaration of policy.spec.groups) this.groups.addPolicyGroup(declaration);
     const { defaultGroup } = policy.spec;
     if (defaultGroup !== undefined) this.defaultGroup = this.groups.get(defaultGroup);
     for (const declaration of policy.spec.kinds) this.addKind(policy, declaration);
@@ -101,16 +101,16 @@
     };
     this.kindsByName.set(kind.name, kind);
     for (const match of declaration.match) {
-      const routes = this.routesByMethod.get(match.method) ?? [];
-      routes.push({ pattern: new PathPattern(match.path), kind });
-      this.routesByMethod.set(match.method, routes);
+      const patterns = this.kindPatternsByMethod.get(match.method) ?? [];
+      patterns.push({ pattern: new PathPattern(match.path), kind });
+      this.kindPatternsByMethod.set(match.method, patterns);
     }
   }
 
   /** The kind that `method` and `path` belong to, or undefined. */
   matchKind(method: string, path: string): RequestKind | undefined {
-    const routes = this.routesByMethod.get(method);
-    return routes?.find((route) => route.pattern.matches(path))?.kind;
+    const patterns = this.kindPatternsByMethod.get(method);
+    return patterns?.find((candidate) => candidate.pattern.matches(path))?.kind;
   }
 
   /** The kind with this name, or undefined. */
@@ -121,7 +121,7 @@
   /** The group whose callers present an API key with this SHA-256 hash, else the default group. */
   groupOfKeyHash(hash: string | undefined): Group | undefined {
     if (hash === undefined) return this.defaultGroup;
-    return this.groups.ofKeyHash(hash) ?? this.defaultGroup;
+    return this.groups.findByKeyHash(hash) ?? this.defaultGroup;
   }
 
   /** Weight of the group; tiny for a group that this revision does not know. */
--- a/src/policy/resource-schema.ts
+++ b/src/policy/resource-schema.ts
@@ -207,7 +207,7 @@
 export const DEFAULT_SERVICE_SPEC: ServiceSpec = serviceSpecSchema.parse({});
 
 /** Faults inside one policy that a schema cannot express. */
-function crossFaultsOf(resource: Resource): Fault[] {
+function policyFaults(resource: Resource): Fault[] {
   if (resource.kind !== 'Policy') return [];
   const faults: Fault[] = [];
   const { groups, kinds, defaultGroup } = resource.spec;
@@ -238,7 +238,7 @@
 export function resourceFaults(value: unknown): Fault[] {
   const faults = faultsOf(resourceSchema, value);
   if (faults.length > 0) return faults;
-  return crossFaultsOf(resourceSchema.parse(value));
+  return policyFaults(resourceSchema.parse(value));
 }
 
 /**
--- a/src/policy/route-schema.ts
+++ b/src/policy/route-schema.ts
@@ -120,27 +120,27 @@
       message,
     })),
   );
-  return faults.length > 0 ? faults : crossFaults(resources as readonly SetResource[]);
+  return faults.length > 0 ? faults : crossResourceFaults(resources as readonly SetResource[]);
 }
 
 /** Names that stand twice, places that two routes claim, services that no resource declares. */
-function crossFaults(resources: readonly SetResource[]): Fault[] {
+function crossResourceFaults(resources: readonly SetResource[]): Fault[] {
   const faults: Fault[] = [];
-  const taken = new Set<string>();
-  const claim = (key: string, index: number, message: string): void => {
-    if (taken.has(key)) faults.push({ path: `resources[${index}]`, message });
-    taken.add(key);
+  const seenKeys = new Set<string>();
+  const addUnique = (key: string, index: number, message: string): void => {
+    if (seenKeys.has(key)) faults.push({ path: `resources[${index}]`, message });
+    seenKeys.add(key);
   };
   const services = new Set(
     resources.filter(({ kind }) => kind === 'Service').map((resource) => resource.name),
   );
   resources.forEach((resource, index) => {
     const { kind, name } = resource;
-    claim(`name ${kind}/${name}`, index, `${kind} '${name}' stands twice`);
+    addUnique(`name ${kind}/${name}`, index, `${kind} '${name}' stands twice`);
     if (resource.kind !== 'Route') return;
     const { host, pathPrefix } = resource.spec;
-    const place = `${host.toLowerCase()}${pathPrefix}`;
-    claim(`place ${place}`, index, `another route has ${place}`);
+    const routeKey = `${host.toLowerCase()}${pathPrefix}`;
+    addUnique(`place ${routeKey}`, index, `another route has ${routeKey}`);
     for (const service of servicesOf(resource.spec)) {
       if (services.has(service)) continue;
       faults.push({ path: `resources[${index}].spec`, message: `no service '${service}'` });
--- a/src/policy/route-table.ts
+++ b/src/policy/route-table.ts
@@ -58,7 +58,7 @@
 
   /** The route with the longest prefix of `path` at `host`, or undefined. */
   match(host: string | undefined, path: string): Route | undefined {
-    const prefixes = this.hosts.get(hostName(host));
+    const prefixes = this.hosts.get(normalizeHost(host));
     if (prefixes === undefined) return undefined;
     for (let end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
       const route = prefixes.get(path.slice(0, end + 1));
@@ -69,7 +69,7 @@
   }
 
   private add(resource: RouteResource): void {
-    const host = hostName(resource.spec.host);
+    const host = normalizeHost(resource.spec.host);
     const prefixes = this.hosts.get(host) ?? new Map<string, Route>();
     prefixes.set(resource.spec.pathPrefix, compile(resource));
     this.hosts.set(host, prefixes);
@@ -85,7 +85,7 @@
     timeoutMs: spec.timeoutMs,
     objectiveMs: spec.objectiveMs ?? spec.timeoutMs,
     rank,
-    importance: importanceOfRank(rank),
+    importance: importanceFromRank(rank),
     maxTargets: spec.maxTargets ?? DEFAULT_MAX_TARGETS,
     backends: spec.backends ?? servicesOf(spec).map((service) => ({ service, weight: 1 })),
     anonymous: spec.anonymous ?? false,
@@ -93,12 +93,12 @@
 }
 
 /** Ranks beyond the least importance share it. */
-function importanceOfRank(rank: number): Importance {
+function importanceFromRank(rank: number): Importance {
   return Math.max(0, HIGHEST_IMPORTANCE - rank) as Importance;
 }
 
 /** A `Host` value without its port, in lower case (RFC 9110, section 4.2.3). */
-function hostName(host: string | undefined): string {
+function normalizeHost(host: string | undefined): string {
   return (host ?? '').toLowerCase().replace(/:\d+$/, '');
 }
 
--- a/src/storage/disk-files.ts
+++ b/src/storage/disk-files.ts
@@ -17,7 +17,7 @@
 import { StorageError } from '../common/errors.js';
 import type { AppendFile, FileCallback, StorageFiles } from './storage-files.js';
 
-function failure(action: string, cause: unknown): Error {
+function storageError(action: string, cause: unknown): Error {
   return new StorageError(`Could not ${action}.`, { cause });
 }
 
@@ -48,7 +48,7 @@
 
   private writeAll(bytes: Uint8Array, done: FileCallback): void {
     write(this.descriptor, bytes, 0, bytes.length, null, (error, written) => {
-      if (error !== null) done(failure(`write ${this.path}`, error));
+      if (error !== null) done(storageError(`write ${this.path}`, error));
       else if (written < bytes.length) this.writeAll(bytes.subarray(written), done);
       else this.sync(done);
     });
@@ -56,7 +56,7 @@
 
   private sync(done: FileCallback): void {
     fdatasync(this.descriptor, (error) => {
-      done(error === null ? undefined : failure(`sync ${this.path}`, error));
+      done(error === null ? undefined : storageError(`sync ${this.path}`, error));
     });
   }
 }
@@ -67,7 +67,7 @@
     try {
       mkdirSync(folder, { recursive: true });
     } catch (error) {
-      throw failure(`create the data folder ${folder}`, error);
+      throw storageError(`create the data folder ${folder}`, error);
     }
   }
 
@@ -76,14 +76,14 @@
       return readFileSync(join(this.folder, name));
     } catch (error) {
       if ((error as NodeJS.ErrnoException).code === 'ENOENT') return undefined;
-      throw failure(`read ${name}`, error);
+      throw storageError(`read ${name}`, error);
     }
   }
 
   replace(name: string, bytes: Uint8Array, done: FileCallback): void {
     this.writeAndRename(name, bytes).then(
       () => done(undefined),
-      (error: unknown) => done(failure(`replace ${name}`, error)),
+      (error: unknown) => done(storageError(`replace ${name}`, error)),
     );
   }
 
@@ -98,21 +98,21 @@
       return new DiskAppendFile(descriptor, path);
     } catch (error) {
       if (descriptor !== undefined) closeSync(descriptor);
-      throw failure(`open ${path}`, error);
+      throw storageError(`open ${path}`, error);
     }
   }
 
   private async writeAndRename(name: string, bytes: Uint8Array): Promise<void> {
     const path = join(this.folder, name);
-    const temporary = `${path}.new`;
-    const file = await open(temporary, 'w');
+    const temporaryPath = `${path}.new`;
+    const file = await open(temporaryPath, 'w');
     try {
       await file.writeFile(bytes);
       await file.sync();
     } finally {
       await file.close();
     }
-    await rename(temporary, path);
+    await rename(temporaryPath, path);
     const folder = await open(this.folder, 'r');
     try {
       await folder.sync();
--- a/src/storage/entries-after.ts
+++ b/src/storage/entries-after.ts
@@ -11,7 +11,7 @@
 export const LOG_ORIGIN: LogPosition = { index: 0, term: 0 };
 
 /** Adds entries at the end of a log; what stands there from the first one's index on is replaced. */
-export function replaceFrom(log: LogEntry[], added: readonly LogEntry[]): void {
+export function truncateAndAppend(log: LogEntry[], added: readonly LogEntry[]): void {
   const first = added[0];
   if (first === undefined) return;
   while (log.length > 0 && log.at(-1)!.index >= first.index) log.pop();
--- a/src/storage/load-log.ts
+++ b/src/storage/load-log.ts
@@ -4,7 +4,7 @@
  */
 import { decodeMessage } from '../common/message-codec.js';
 import type { HardState, LogEntry, PersistedState, Snapshot } from './persisted-state.js';
-import { entriesAfter, replaceFrom, type LogPosition } from './entries-after.js';
+import { entriesAfter, truncateAndAppend, type LogPosition } from './entries-after.js';
 import { scanRecords } from './record-format.js';
 import type { StorageFiles } from './storage-files.js';
 
@@ -25,7 +25,7 @@
       readonly type: 'loaded';
       readonly persisted: PersistedState;
       /** Bytes of the log file that are good; the rest is the torn end of a write. */
-      readonly goodBytes: number;
+      readonly validBytes: number;
     }
   | { readonly type: 'damaged'; readonly reason: string };
 
@@ -57,7 +57,7 @@
   const { hardState, base, entries } = contents;
   const kept = snapshot === undefined ? entries : entriesAfter(snapshot, entries, base);
   const persisted: PersistedState = { hardState, snapshot, entries: kept };
-  return { type: 'loaded', persisted, goodBytes: scan.goodBytes };
+  return { type: 'loaded', persisted, validBytes: scan.validBytes };
 }
 
 function loadSnapshot(files: StorageFiles): Snapshot | undefined | 'damaged' {
@@ -78,11 +78,11 @@
     base: { index: start.baseIndex, term: start.baseTerm },
     entries: [],
   };
-  for (const record of rest) addRecord(contents, record);
+  for (const record of rest) applyRecord(contents, record);
   return contents;
 }
 
-function addRecord(contents: LogContents, record: LogRecord): void {
+function applyRecord(contents: LogContents, record: LogRecord): void {
   if (record.type === 'hard-state') contents.hardState = record.state;
-  if (record.type === 'entries') replaceFrom(contents.entries, record.entries);
+  if (record.type === 'entries') truncateAndAppend(contents.entries, record.entries);
 }
--- a/src/storage/log-storage.ts
+++ b/src/storage/log-storage.ts
@@ -12,7 +12,7 @@
   Snapshot,
   StorageCallback,
 } from './persisted-state.js';
-import { entriesAfter, LOG_ORIGIN, replaceFrom, type LogPosition } from './entries-after.js';
+import { entriesAfter, LOG_ORIGIN, truncateAndAppend, type LogPosition } from './entries-after.js';
 import { encodeRecord } from './record-format.js';
 import { loadLog, LOG_FILE, SNAPSHOT_FILE, type LogRecord } from './load-log.js';
 import type { AppendFile, StorageFiles } from './storage-files.js';
@@ -61,7 +61,7 @@
   private snapshot: Snapshot | undefined;
   private entries: LogEntry[];
   private readonly queue: PendingWrite[] = [];
-  private busy = false;
+  private isWriting = false;
   private isClosed = false;
   private failure: Error | undefined;
 
@@ -79,7 +79,7 @@
   static open(files: StorageFiles): OpenedLog {
     const loaded = loadLog(files);
     if (loaded.type === 'damaged') return loaded;
-    const file = files.openAppend(LOG_FILE, loaded.goodBytes);
+    const file = files.openAppend(LOG_FILE, loaded.validBytes);
     const storage = new LogStorage(files, file, loaded.persisted);
     return { type: 'opened', storage, persisted: loaded.persisted };
   }
@@ -127,25 +127,25 @@
 
   private enqueue(pending: PendingWrite): void {
     this.queue.push(pending);
-    if (!this.busy) this.writeNext();
+    if (!this.isWriting) this.writeNext();
   }
 
   private writeNext(): void {
     const first = this.queue[0];
     if (first === undefined || this.isClosed) return;
     if (this.failure !== undefined) {
-      this.finish([this.queue.shift()!], this.failure);
+      this.completeWrites([this.queue.shift()!], this.failure);
       return;
     }
-    this.busy = true;
+    this.isWriting = true;
     if (first.type === 'snapshot') {
       this.queue.shift();
       this.writeSnapshot(first);
-    } else this.writeRecords(this.takeRecords());
+    } else this.writeRecords(this.dequeueRecords());
   }
 
   /** Takes the records at the head of the queue, up to the next snapshot. */
-  private takeRecords(): PendingRecord[] {
+  private dequeueRecords(): PendingRecord[] {
     const taken: PendingRecord[] = [];
     while (this.queue[0]?.type === 'record') taken.push(this.queue.shift() as PendingRecord);
     return taken;
@@ -154,24 +154,24 @@
   private writeRecords(pending: readonly PendingRecord[]): void {
     const records = pending.flatMap((write) => write.record ?? []);
     if (records.length === 0) {
-      this.finish(pending, undefined);
+      this.completeWrites(pending, undefined);
       return;
     }
-    for (const record of records) this.remember(record);
+    for (const record of records) this.applyRecord(record);
     const bytes = Buffer.concat(records.map(encodeLogRecord));
-    this.file.append(bytes, (error) => this.finish(pending, error));
+    this.file.append(bytes, (error) => this.completeWrites(pending, error));
   }
 
-  private remember(record: LogRecord): void {
+  private applyRecord(record: LogRecord): void {
     if (record.type === 'hard-state') this.hardState = record.state;
-    if (record.type === 'entries') replaceFrom(this.entries, record.entries);
+    if (record.type === 'entries') truncateAndAppend(this.entries, record.entries);
   }
 
   private writeSnapshot(pending: PendingSnapshot): void {
     const { snapshot } = pending;
     this.files.replace(SNAPSHOT_FILE, encodeRecord(encodeMessage(snapshot)), (error) => {
       // A log that is older than the snapshot is read as well: it may stay where the storage was closed meanwhile.
-      if (error !== undefined || this.isClosed) this.finish([pending], error);
+      if (error !== undefined || this.isClosed) this.completeWrites([pending], error);
       else this.rewriteLog(pending);
     });
   }
@@ -187,14 +187,14 @@
         this.file.close();
         this.file = this.files.openAppend(LOG_FILE, bytes.length);
       }
-      this.finish([pending], error);
+      this.completeWrites([pending], error);
     });
   }
 
-  private finish(pending: readonly PendingWrite[], error: Error | undefined): void {
-    this.busy = false;
+  private completeWrites(pending: readonly PendingWrite[], error: Error | undefined): void {
+    this.isWriting = false;
     this.failure ??= error;
     for (const write of pending) write.done(this.failure);
-    if (!this.busy) this.writeNext();
+    if (!this.isWriting) this.writeNext();
   }
 }
--- a/src/storage/record-format.ts
+++ b/src/storage/record-format.ts
@@ -24,7 +24,7 @@
 export interface RecordScan {
   readonly payloads: readonly Uint8Array[];
   /** Bytes up to the end of the last good record. */
-  readonly goodBytes: number;
+  readonly validBytes: number;
   readonly end: RecordEnd;
 }
 
@@ -48,11 +48,11 @@
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const payloads: Uint8Array[] = [];
   let offset = 0;
-  const endWith = (end: RecordEnd): RecordScan => ({ payloads, goodBytes: offset, end });
+  const endWith = (end: RecordEnd): RecordScan => ({ payloads, validBytes: offset, end });
   const damaged = (reason: string): RecordScan => endWith({ type: 'damaged', offset, reason });
   while (offset < buffer.length) {
     const rest = buffer.subarray(offset);
-    if (rest.length < HEADER_BYTES || isZero(rest)) return endWith({ type: 'torn' });
+    if (rest.length < HEADER_BYTES || isAllZero(rest)) return endWith({ type: 'torn' });
     const length = rest.readUInt32BE(LENGTH_OFFSET);
     const headerChecksum = rest.readUInt32BE(HEADER_CHECKSUM_OFFSET);
     if (crc32(rest.subarray(LENGTH_OFFSET, LENGTH_BYTES)) !== headerChecksum) {
@@ -70,6 +70,6 @@
   return endWith({ type: 'complete' });
 }
 
-function isZero(bytes: Uint8Array): boolean {
+function isAllZero(bytes: Uint8Array): boolean {
   return bytes.every((byte) => byte === 0);
 }
--- a/test/common/suspended-clock.test.ts
+++ b/test/common/suspended-clock.test.ts
@@ -12,12 +12,12 @@
 
 /** The clocks of a machine that a test suspends, and whose time of day it sets. */
 class TestMachine implements ClockSources {
-  private steady = 1_000;
+  private monotonic = 1_000;
   private wall = 1_700_000_000_000;
   private uptime = 50_000;
 
-  steadyMs(): number {
-    return this.steady;
+  monotonicMs(): number {
+    return this.monotonic;
   }
 
   wallMs(): number {
@@ -29,7 +29,7 @@
   }
 
   run(durationMs: number): void {
-    this.steady += durationMs;
+    this.monotonic += durationMs;
     this.wall += durationMs;
     this.uptime += durationMs;
   }
@@ -49,7 +49,7 @@
   }
 }
 
-function clockOf(machine: TestMachine): SystemClock {
+function createClock(machine: TestMachine): SystemClock {
   return new SystemClock(machine);
 }
 
@@ -59,7 +59,7 @@
 
   beforeEach(() => {
     machine = new TestMachine();
-    clock = clockOf(machine);
+    clock = createClock(machine);
   });
 
   function elapsed(step: () => void): number {
@@ -99,7 +99,7 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         machine = new TestMachine();
-        clock = clockOf(machine);
+        clock = createClock(machine);
         for (const { kind, ms } of steps) {
           const passed = elapsed(() => {
             if (kind === 'run') machine.run(ms);
--- a/test/storage/closed-log.test.ts
+++ b/test/storage/closed-log.test.ts
@@ -8,11 +8,11 @@
 import type { AppendFile, FileCallback, StorageFiles } from '../../src/storage/storage-files.js';
 
 /** Files whose writes end when the test says so. */
-class HeldFiles implements StorageFiles {
+class DeferredFiles implements StorageFiles {
   readonly contents = new Map<string, Uint8Array>();
-  readonly underWay: FileCallback[] = [];
+  readonly pendingWrites: FileCallback[] = [];
   readonly faults: string[] = [];
-  opened = 0;
+  openCount = 0;
 
   read(name: string): Uint8Array | undefined {
     return this.contents.get(name);
@@ -20,16 +20,16 @@
 
   replace(name: string, bytes: Uint8Array, done: FileCallback): void {
     this.contents.set(name, bytes);
-    this.underWay.push(done);
+    this.pendingWrites.push(done);
   }
 
   openAppend(): AppendFile {
-    this.opened += 1;
+    this.openCount += 1;
     let isClosed = false;
     return {
       append: (_bytes, done) => {
         if (isClosed) this.faults.push('a write was begun on a closed file');
-        this.underWay.push(done);
+        this.pendingWrites.push(done);
       },
       close: () => {
         isClosed = true;
@@ -38,21 +38,25 @@
   }
 
   /** Ends the write under way, and whichever follow on it. */
-  endWrites(): void {
-    for (let done = this.underWay.shift(); done !== undefined; done = this.underWay.shift()) {
+  completeWrites(): void {
+    for (
+      let done = this.pendingWrites.shift();
+      done !== undefined;
+      done = this.pendingWrites.shift()
+    ) {
       done(undefined);
     }
   }
 }
 
 describe('a log that is closed while it writes', () => {
-  let files: HeldFiles;
+  let files: DeferredFiles;
   let storage: LogStorage;
 
   beforeEach(() => {
-    files = new HeldFiles();
+    files = new DeferredFiles();
     LogStorage.create(files, () => undefined);
-    files.endWrites();
+    files.completeWrites();
     const opened = LogStorage.open(files);
     if (opened.type !== 'opened') throw new Error(opened.reason);
     ({ storage } = opened);
@@ -63,9 +67,9 @@
     storage.saveHardState({ term: 1, votedFor: 'a' }, () => ended.push('first'));
     storage.saveHardState({ term: 2, votedFor: 'a' }, () => ended.push('second'));
     storage.close();
-    files.endWrites();
+    files.completeWrites();
     storage.saveHardState({ term: 3, votedFor: 'a' }, () => ended.push('third'));
-    files.endWrites();
+    files.completeWrites();
     expect(files.faults).to.deep.equal([]);
     expect(ended).to.deep.equal(['first']);
   });
@@ -75,7 +79,7 @@
     const snapshot = { index: 0, term: 0, replicas, data: Buffer.alloc(0) };
     storage.saveSnapshot(snapshot, () => undefined);
     storage.close();
-    files.endWrites();
-    expect(files.opened).to.equal(1);
+    files.completeWrites();
+    expect(files.openCount).to.equal(1);
   });
 });
--- a/test/storage/log-storage.test.ts
+++ b/test/storage/log-storage.test.ts
@@ -53,7 +53,7 @@
 }
 
 /** A log with a vote and three entries. */
-function written(): MemoryFiles {
+function createWrittenLog(): MemoryFiles {
   const files = create();
   const { storage } = open(files);
   storage.saveHardState({ term: 3, votedFor: 'x' }, ignore);
@@ -64,7 +64,7 @@
 
 describe('log storage', () => {
   it('comes back with what was written, later entries replacing earlier ones', () => {
-    const files = written();
+    const files = createWrittenLog();
     open(files).storage.appendEntries([entry(2, 4)], ignore);
     const { persisted } = open(files);
     expect(persisted.hardState).to.deep.equal({ term: 3, votedFor: 'x' });
@@ -79,7 +79,7 @@
       [1, [3]],
       [2, []],
     ] as const) {
-      const files = written();
+      const files = createWrittenLog();
       const replicas = { voters: [], learners: [] };
       const data = Buffer.alloc(0);
       open(files).storage.saveSnapshot({ index: 2, term, replicas, data }, ignore);
@@ -91,7 +91,7 @@
   });
 
   it('reports a failed write to it and to all later ones', () => {
-    const files = written();
+    const files = createWrittenLog();
     const { storage } = open(files);
     files.failing = true;
     const errors: (Error | undefined)[] = [];
@@ -102,11 +102,11 @@
   });
 
   it('cuts a write that was cut short, at any byte', () => {
-    const whole = written().files.get(LOG_FILE)!;
-    const before = open(written());
+    const whole = createWrittenLog().files.get(LOG_FILE)!;
+    const before = open(createWrittenLog());
     before.storage.appendEntries([entry(4, 3)], ignore);
     for (let size = whole.length; size < whole.length + 20; size += 1) {
-      const files = written();
+      const files = createWrittenLog();
       open(files).storage.appendEntries([entry(4, 3)], ignore);
       files.files.set(LOG_FILE, files.files.get(LOG_FILE)!.subarray(0, size));
       expect(open(files).persisted.entries).to.have.length(3);
@@ -115,41 +115,44 @@
   });
 
   const damages: { name: string; damage: (files: MemoryFiles) => void }[] = [
-    { name: 'a changed byte in the middle', damage: (files) => flip(files, LOG_FILE, 0.5) },
-    { name: 'a changed byte in the last record', damage: (files) => flip(files, LOG_FILE, 0.99) },
+    { name: 'a changed byte in the middle', damage: (files) => flipByte(files, LOG_FILE, 0.5) },
+    {
+      name: 'a changed byte in the last record',
+      damage: (files) => flipByte(files, LOG_FILE, 0.99),
+    },
     { name: 'a missing log', damage: (files) => files.files.delete(LOG_FILE) },
     {
       name: 'a missing snapshot',
       damage: (files) => {
-        snapshotAt2(files);
+        saveSnapshotAtIndex2(files);
         files.files.delete(SNAPSHOT_FILE);
       },
     },
     {
       name: 'a damaged snapshot',
       damage: (files) => {
-        snapshotAt2(files);
-        flip(files, SNAPSHOT_FILE, 0.5);
+        saveSnapshotAtIndex2(files);
+        flipByte(files, SNAPSHOT_FILE, 0.5);
       },
     },
   ];
   for (const { name, damage } of damages) {
     it(`refuses to open after ${name}`, () => {
-      const files = written();
+      const files = createWrittenLog();
       damage(files);
       expect(LogStorage.open(files).type).to.equal('damaged');
     });
   }
 });
 
-function flip(files: MemoryFiles, name: string, at: number): void {
+function flipByte(files: MemoryFiles, name: string, at: number): void {
   const bytes = Buffer.from(files.files.get(name)!);
   const offset = Math.floor(bytes.length * at);
   bytes[offset] = bytes[offset]! ^ 0xff;
   files.files.set(name, bytes);
 }
 
-function snapshotAt2(files: MemoryFiles): void {
+function saveSnapshotAtIndex2(files: MemoryFiles): void {
   const replicas = { voters: [], learners: [] };
   const snapshot = { index: 2, term: 1, replicas, data: Buffer.alloc(0) };
   open(files).storage.saveSnapshot(snapshot, ignore);
--- a/test/storage/stored-bytes.test.ts
+++ b/test/storage/stored-bytes.test.ts
@@ -29,7 +29,11 @@
 const PINNED = JSON.parse(readFileSync('test/fixtures/stored-bytes.json', 'utf8')) as Pinned;
 const ELECTION_MS = 1_000;
 
-function startOn(files: MemoryFiles, clock: VirtualClock, snapshotInterval = 1_000): StoredReplica {
+function startReplica(
+  files: MemoryFiles,
+  clock: VirtualClock,
+  snapshotInterval = 1_000,
+): StoredReplica {
   const replica = new StoredReplica({ clock, files, snapshotInterval });
   replica.host.start();
   clock.advance(ELECTION_MS);
@@ -38,19 +42,19 @@
 }
 
 /** A folder with every kind of record, of two terms. */
-async function writtenFolder(clock: VirtualClock): Promise<MemoryFiles> {
+async function writeDataFolder(clock: VirtualClock): Promise<MemoryFiles> {
   const files = new MemoryFiles();
-  const first = startOn(files, clock);
+  const first = startReplica(files, clock);
   for (const command of PINNED.commands) {
     await first.log.propose(command as Parameters<typeof first.log.propose>[0]);
   }
   first.host.receive('', PINNED.joinRequest as Parameters<typeof first.host.receive>[1]);
   first.host.stop();
-  startOn(files, clock).host.stop();
+  startReplica(files, clock).host.stop();
   return files;
 }
 
-function shown(files: MemoryFiles): ShownFiles {
+function decodeFiles(files: MemoryFiles): ShownFiles {
   return Object.fromEntries([...files.files].map(([name, bytes]) => [name, showRecords(bytes)]));
 }
 
@@ -73,15 +77,15 @@
 
 describe('the bytes of a data folder', () => {
   it('are those of each kind of record and command', async () => {
-    const files = await writtenFolder(new VirtualClock());
-    expect(shown(files)).to.deep.equal(PINNED.filesBeforeSnapshot);
+    const files = await writeDataFolder(new VirtualClock());
+    expect(decodeFiles(files)).to.deep.equal(PINNED.filesBeforeSnapshot);
   });
 
   it('are those of a snapshot and the log after it', async () => {
     const clock = new VirtualClock();
-    const files = await writtenFolder(clock);
-    startOn(files, clock, 1).host.stop();
-    expect(shown(files)).to.deep.equal(PINNED.filesAfterSnapshot);
+    const files = await writeDataFolder(clock);
+    startReplica(files, clock, 1).host.stop();
+    expect(decodeFiles(files)).to.deep.equal(PINNED.filesAfterSnapshot);
   });
 });
 
