--- a/src/storage/disk-files.ts
+++ b/src/storage/disk-files.ts
@@ -1,6 +1,6 @@
 /**
- * {@link StorageFiles} in a folder of the file system. Each write is synced before it is reported, and a failure of the system
- * is a StorageError with its cause; the replica takes no part until its disk takes writes again. Owns the open log file.
+ * File system implementation of {@link StorageFiles}. Each write is synced before its callback runs, and a failed system
+ * call is reported as a StorageError with its cause.
  */
 import {
   closeSync,
@@ -39,7 +39,10 @@
     });
   }
 
-  /** Closes the file once the write under way is over: its descriptor must not be reused before. */
+  /**
+   * Closes the file after the write in progress. Closed earlier, the descriptor could be reused by another file or
+   * connection that would then receive the rest of the write.
+   */
   close(): void {
     if (this.isClosing) return;
     this.isClosing = true;
@@ -62,7 +65,7 @@
 }
 
 export class DiskFiles implements StorageFiles {
-  /** Creates the folder when there is none. @throws StorageError */
+  /** Creates the folder if it does not exist. @throws StorageError */
   constructor(private readonly folder: string) {
     try {
       mkdirSync(folder, { recursive: true });
@@ -91,7 +94,7 @@
     const path = join(this.folder, name);
     let descriptor: number | undefined;
     try {
-      // Opened for appending, so that writes go to the end whatever was cut off.
+      // In append mode each write goes to the end of the file as it is after the truncation below.
       descriptor = openSync(path, 'a');
       ftruncateSync(descriptor, size);
       fsyncSync(descriptor);
--- a/src/storage/entries-after.ts
+++ b/src/storage/entries-after.ts
@@ -1,16 +1,16 @@
-/** Which entries of a log still count once others, or a snapshot, have come. Pure; the loader and the writer agree by it. */
+/** Computes which log entries remain after new entries or a snapshot. Used both to load and to write a log. */
 import type { LogEntry, Snapshot } from './persisted-state.js';
 
-/** Index and term of an entry. */
+/** Index and term of a log entry. */
 export interface LogPosition {
   readonly index: number;
   readonly term: number;
 }
 
-/** Where an empty log ends. */
+/** Position before the first entry of a log that has no snapshot. */
 export const LOG_ORIGIN: LogPosition = { index: 0, term: 0 };
 
-/** Adds entries at the end of a log; what stands there from the first one's index on is replaced. */
+/** Appends `added` to `log`, after removing the entries whose index is not below that of the first added one. */
 export function truncateAndAppend(log: LogEntry[], added: readonly LogEntry[]): void {
   const first = added[0];
   if (first === undefined) return;
@@ -18,7 +18,11 @@
   log.push(...added);
 }
 
-/** The entries that follow on a snapshot: none when the log does not agree with it. */
+/**
+ * Returns the entries after a snapshot, or none if the term at the snapshot's index differs: then the entries conflict
+ * with the snapshot.
+ * @param base position of the entry before the first of `entries`
+ */
 export function entriesAfter(
   snapshot: Snapshot,
   entries: readonly LogEntry[],
--- a/src/storage/load-log.ts
+++ b/src/storage/load-log.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the log and snapshot of a data folder, and decides whether they can be trusted: a torn end is cut off, anything else that
- * is wrong makes the folder damaged, with the reason that `status` and the log show. Owns nothing.
+ * Reads and checks the log and the snapshot of a data folder. An incomplete last write is dropped; any other fault
+ * marks the folder as damaged.
  */
 import { decodeMessage } from '../common/message-codec.js';
 import type { HardState, LogEntry, PersistedState, Snapshot } from './persisted-state.js';
@@ -13,20 +13,21 @@
 
 /** One record of the log file. */
 export type LogRecord =
-  /** The first: index and term of the entry before the first in this file. */
+  /** First record of the file: index and term of the entry before the first one in it. */
   | { readonly type: 'start'; readonly baseIndex: number; readonly baseTerm: number }
   | { readonly type: 'hard-state'; readonly state: HardState }
-  /** Replaces everything from the first entry's index on. */
+  /** Replaces all entries from the index of the first one on. */
   | { readonly type: 'entries'; readonly entries: readonly LogEntry[] };
 
-/** What was found on disk. */
+/** Result of {@link loadLog}. */
 export type LoadedLog =
   | {
       readonly type: 'loaded';
       readonly persisted: PersistedState;
-      /** Bytes of the log file that are good; the rest is the torn end of a write. */
+      /** Length of the valid records in the log file, in bytes; an incomplete write may follow them. */
       readonly validBytes: number;
     }
+  /** The reason is logged and shown by the `status` command. */
   | { readonly type: 'damaged'; readonly reason: string };
 
 interface LogContents {
@@ -39,7 +40,7 @@
   return { type: 'damaged', reason };
 }
 
-/** Loads a data folder. */
+/** Loads the log and the snapshot of a data folder. @throws StorageError if a file cannot be read */
 export function loadLog(files: StorageFiles): LoadedLog {
   const logBytes = files.read(LOG_FILE);
   if (logBytes === undefined) return damaged('the log file is missing');
--- a/src/storage/log-storage.ts
+++ b/src/storage/log-storage.ts
@@ -1,7 +1,7 @@
 /**
- * The disk of one replica: a `snapshot` file that is replaced atomically, and a `log` file of
- * checksummed records that grows until the next snapshot. Writes are done in order; those that come
- * while a sync is under way share the next one. After a write that failed all others fail: it owns the queue and that failure.
+ * {@link RaftStorage} in two files: `snapshot`, which is replaced atomically, and `log`, a file of checksummed records that
+ * grows until the next snapshot. Writes run in order, and records that are queued during a sync are written together.
+ * After a failed write all later ones fail with the same error.
  */
 import { encodeMessage } from '../common/message-codec.js';
 import type {
@@ -19,7 +19,7 @@
 
 interface PendingRecord {
   readonly type: 'record';
-  /** Undefined for a wait for the writes before it. */
+  /** Undefined if the caller only waits for the writes before it. */
   readonly record: LogRecord | undefined;
   readonly done: StorageCallback;
 }
@@ -32,7 +32,7 @@
 
 type PendingWrite = PendingRecord | PendingSnapshot;
 
-/** A whole log file. */
+/** Encodes the contents of a new log file. */
 function encodeLog(
   base: LogPosition,
   hardState: HardState,
@@ -46,7 +46,7 @@
   return Buffer.concat(records.map(encodeLogRecord));
 }
 
-/** A log that could be opened, with what it holds; or why it can't be trusted. */
+/** Result of {@link LogStorage.open}: the storage and its contents, or why the files are damaged. */
 export type OpenedLog =
   | { readonly type: 'opened'; readonly storage: LogStorage; readonly persisted: PersistedState }
   | { readonly type: 'damaged'; readonly reason: string };
@@ -57,12 +57,13 @@
 
 export class LogStorage implements RaftStorage {
   private hardState: HardState;
-  /** The snapshot on disk, and the entries that the log file holds after it. */
   private snapshot: Snapshot | undefined;
+  /** Entries in the log file that follow {@link snapshot}. */
   private entries: LogEntry[];
   private readonly queue: PendingWrite[] = [];
   private isWriting = false;
   private isClosed = false;
+  /** Error of the first write that failed. */
   private failure: Error | undefined;
 
   private constructor(
@@ -75,7 +76,7 @@
     this.entries = [...persisted.entries];
   }
 
-  /** Opens the log of a data folder. The log file must exist: see {@link LogStorage.create}. */
+  /** Opens the log of a data folder. The log file must exist; {@link LogStorage.create} creates it. */
   static open(files: StorageFiles): OpenedLog {
     const loaded = loadLog(files);
     if (loaded.type === 'damaged') return loaded;
@@ -84,13 +85,13 @@
     return { type: 'opened', storage, persisted: loaded.persisted };
   }
 
-  /** Creates an empty log. */
+  /** Creates an empty log file. */
   static create(files: StorageFiles, done: StorageCallback): void {
     const start = encodeLogRecord({ type: 'start', baseIndex: 0, baseTerm: 0 });
     files.replace(LOG_FILE, start, done);
   }
 
-  /** Writes the log file anew with what it holds. Calls back with nothing done if it is damaged. */
+  /** Replaces the log file by one with the same contents. Calls back without writing if the files are damaged. */
   static rewrite(files: StorageFiles, done: StorageCallback): void {
     const loaded = loadLog(files);
     if (loaded.type === 'damaged') {
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Closes the files. Writes that have not begun are dropped without a call back, as in a crash: their descriptor may belong
-   * to another file or connection by then.
+   * Closes the log file. Queued writes are dropped without running their callbacks, as in a crash: by then the system may
+   * have reused the file descriptor.
    */
   close(): void {
     this.isClosed = true;
@@ -144,7 +145,7 @@
     } else this.writeRecords(this.dequeueRecords());
   }
 
-  /** Takes the records at the head of the queue, up to the next snapshot. */
+  /** Removes the records before the next snapshot from the queue. */
   private dequeueRecords(): PendingRecord[] {
     const taken: PendingRecord[] = [];
     while (this.queue[0]?.type === 'record') taken.push(this.queue.shift() as PendingRecord);
@@ -170,13 +171,13 @@
   private writeSnapshot(pending: PendingSnapshot): void {
     const { snapshot } = pending;
     this.files.replace(SNAPSHOT_FILE, encodeRecord(encodeMessage(snapshot)), (error) => {
-      // A log that is older than the snapshot is read as well: it may stay where the storage was closed meanwhile.
+      // If the storage was closed meanwhile, the log can stay as it is: a log older than the snapshot is valid.
       if (error !== undefined || this.isClosed) this.completeWrites([pending], error);
       else this.rewriteLog(pending);
     });
   }
 
-  /** Starts the log file anew after the snapshot. */
+  /** Replaces the log file by one that starts after the snapshot. */
   private rewriteLog(pending: PendingSnapshot): void {
     const { snapshot } = pending;
     this.entries = entriesAfter(snapshot, this.entries, this.snapshot ?? LOG_ORIGIN);
--- a/src/storage/persisted-state.ts
+++ b/src/storage/persisted-state.ts
@@ -1,46 +1,46 @@
-/** What a replica keeps on its disk, and how it is written. */
+/** The state that a Raft replica persists, and the interface to write it. */
 
 /**
- * One replica of the log. The identity is drawn when its disk is first written, so a replica that
- * lost its disk comes back as someone else and cannot vote twice under one name.
+ * One replica of the log. Its identity is generated with the data folder, so a replica that lost its data gets a new one
+ * and cannot vote a second time in a term.
  */
 export interface Replica {
   readonly identity: string;
-  /** The `id` in the settings; stays when a disk is replaced. */
+  /** The `id` in the settings; does not change when the data folder is recreated. */
   readonly name: string;
   readonly origin: string;
-  /** What it is to become once it has caught up. A learner holds a copy and never votes. */
+  /** Role once the replica has caught up. A learner receives the log and never votes. */
   readonly role: 'voter' | 'learner';
 }
 
-/** Who replicates the log. Only voters count for a quorum. */
+/** The replicas of the log. Only voters count towards a quorum. */
 export interface ReplicaSet {
   readonly voters: readonly Replica[];
   readonly learners: readonly Replica[];
 }
 
-/** What an entry holds. */
+/** Contents of a log entry. */
 export type EntryPayload =
-  /** The first entry of a leader's term, unless the log is empty: then it is `replicas`. */
+  /** First entry of a leader's term; in an empty log the first entry is `replicas` instead. */
   | { readonly type: 'noop' }
   | { readonly type: 'command'; readonly data: Uint8Array }
   | { readonly type: 'replicas'; readonly replicas: ReplicaSet };
 
-/** One entry of the log. Indices start at 1. */
+/** A log entry. Indices start at 1. */
 export interface LogEntry {
   readonly index: number;
   readonly term: number;
   readonly payload: EntryPayload;
 }
 
-/** What must be on disk before a vote or a new term is acted on. */
+/** State that must be on disk before the replica acts on a vote or a new term. */
 export interface HardState {
   readonly term: number;
-  /** Identity voted for in `term`; empty when none. */
+  /** Identity of the replica voted for in `term`; empty if none. */
   readonly votedFor: string;
 }
 
-/** The state machine at one index, in place of all entries up to it. */
+/** State of the state machine at `index`; replaces all entries up to it. */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
@@ -48,27 +48,21 @@
   readonly data: Uint8Array;
 }
 
-/** Everything that a replica finds on its disk when it starts. */
+/** The state that a replica loads when it starts. */
 export interface PersistedState {
   readonly hardState: HardState;
   readonly snapshot: Snapshot | undefined;
   readonly entries: readonly LogEntry[];
 }
 
-/** Called at the end of a write: undefined once it is synced, or why it failed. */
+/** Called with undefined once a write is synced, or with the error of the write. */
 export type StorageCallback = (error: Error | undefined) => void;
 
-/**
- * The disk of one replica. Writes are done in order, and a callback means that this write and all
- * before it are synced.
- */
+/** Persistent storage of one replica. Writes run in order: when one succeeds, all before it are synced as well. */
 export interface RaftStorage {
   saveHardState(state: HardState, done: StorageCallback): void;
-  /**
-   * Replaces everything from the first entry's index on. With no entries it only waits for the
-   * writes before it.
-   */
+  /** Replaces all entries from the index of the first one on. Without entries it only waits for the writes before it. */
   appendEntries(entries: readonly LogEntry[], done: StorageCallback): void;
-  /** Saves a snapshot and drops the entries up to its index. */
+  /** Saves a snapshot and removes the entries up to its index. */
   saveSnapshot(snapshot: Snapshot, done: StorageCallback): void;
 }
--- a/src/storage/record-format.ts
+++ b/src/storage/record-format.ts
@@ -1,34 +1,34 @@
 /**
- * Records in a file: a header of three 32-bit big-endian numbers (length of the payload, checksum of
- * the length, checksum of the payload; all CRC-32) and the payload. The header has a checksum of its
- * own so that a damaged length is told from a record that was cut short.
+ * Format of the records in a file: a header of three 32-bit big-endian integers (length of the payload, CRC-32 of the length
+ * bytes, CRC-32 of the payload), followed by the payload. The separate checksum of the length distinguishes a damaged
+ * length from an incomplete record.
  */
 import { crc32 } from 'node:zlib';
 
-/** Layout of the header, in bytes; a part of the stored form. */
+// Layout of the header, in bytes.
 const HEADER_BYTES = 12;
 const LENGTH_OFFSET = 0;
 const HEADER_CHECKSUM_OFFSET = 4;
 const PAYLOAD_CHECKSUM_OFFSET = 8;
 const LENGTH_BYTES = 4;
 
-/** How the end of a file was found. */
+/** State of the end of a file. */
 export type RecordEnd =
   | { readonly type: 'complete' }
-  /** The last write was cut short. It was never synced, so cutting it off loses nothing. */
+  /** The last write is incomplete. It was never synced, so it can be truncated without loss. */
   | { readonly type: 'torn' }
-  /** Bytes that may have been synced are wrong. */
+  /** Data that may have been synced is corrupt. */
   | { readonly type: 'damaged'; readonly offset: number; readonly reason: string };
 
-/** What {@link scanRecords} found. */
+/** Result of {@link scanRecords}. */
 export interface RecordScan {
   readonly payloads: readonly Uint8Array[];
-  /** Bytes up to the end of the last good record. */
+  /** Offset of the end of the last valid record. */
   readonly validBytes: number;
   readonly end: RecordEnd;
 }
 
-/** A payload with its header. */
+/** Encodes a payload as a record. */
 export function encodeRecord(payload: Uint8Array): Uint8Array {
   const record = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
   record.writeUInt32BE(payload.length, LENGTH_OFFSET);
@@ -40,9 +40,9 @@
 }
 
 /**
- * Reads records up to the end of the file or the first that is not whole. Only two kinds of end are
- * proof of a write that was never synced: fewer bytes than the header or a sound header declares,
- * and nothing but zeros. Anything else may be a synced record that was damaged later.
+ * Reads records up to the end of the file or the first invalid record. Only two endings prove that a write was never
+ * synced: fewer bytes than the header needs or a valid header declares, and only zeros. Any other invalid record may be a
+ * synced one that was damaged later.
  */
 export function scanRecords(bytes: Uint8Array): RecordScan {
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
--- a/src/storage/storage-files.ts
+++ b/src/storage/storage-files.ts
@@ -1,26 +1,27 @@
 /**
- * The files of one data folder as the log storage sees them. Programs use {@link DiskFiles}; the
- * simulator uses files that lose what was not synced when their machine crashes.
+ * Interface to the files of a data folder. Programs use {@link DiskFiles}; the simulator uses files that lose unsynced
+ * data in a crash.
  */
 
-/** Called at the end of an operation: undefined when it was done, or why it failed. */
+/** Called with undefined once an operation has succeeded, or with its error. */
 export type FileCallback = (error: Error | undefined) => void;
 
-/** A file that only grows. */
+/** A file that is open for appending. */
 export interface AppendFile {
-  /** Adds bytes at the end and syncs them. One call at a time. */
+  /** Appends bytes and syncs the file. Must not be called again before `done` has run. */
   append(bytes: Uint8Array, done: FileCallback): void;
   close(): void;
 }
 
+/** The files of one data folder. */
 export interface StorageFiles {
-  /** Contents of a file, read while the process starts; undefined when there is none. */
+  /** Reads a file synchronously; returns undefined if it does not exist. Only called at startup. */
   read(name: string): Uint8Array | undefined;
   /**
-   * Replaces a file atomically: written under another name, synced, renamed, and the folder synced.
-   * After a crash either the old contents stand or the new.
+   * Replaces a file atomically by writing and syncing a temporary file, renaming it and syncing the folder. After a crash
+   * the file has either the old or the new contents.
    */
   replace(name: string, bytes: Uint8Array, done: FileCallback): void;
-  /** Opens a file for appending after its first `size` bytes; the rest is cut off. */
+  /** Truncates a file to `size` bytes and opens it for appending. */
   openAppend(name: string, size: number): AppendFile;
 }
--- a/test/storage/closed-log.test.ts
+++ b/test/storage/closed-log.test.ts
@@ -1,13 +1,12 @@
 /**
- * Symptom: a control replica that was stopped while it wrote ended with EBADF, thrown where the descriptor of its log was
- * closed a second time. Cause: writes that were queued behind the one under way were begun after the file was closed, on a
- * descriptor that the system may have given to another file or connection since.
+ * Guards against queued writes that start after the log file was closed: they would use a file descriptor that the system
+ * may have reused, and closing it a second time fails with EBADF.
  */
 import { expect } from 'chai';
 import { LogStorage } from '../../src/storage/log-storage.js';
 import type { AppendFile, FileCallback, StorageFiles } from '../../src/storage/storage-files.js';
 
-/** Files whose writes end when the test says so. */
+/** In-memory files whose writes complete when the test calls {@link completeWrites}. */
 class DeferredFiles implements StorageFiles {
   readonly contents = new Map<string, Uint8Array>();
   readonly pendingWrites: FileCallback[] = [];
@@ -37,7 +36,7 @@
     };
   }
 
-  /** Ends the write under way, and whichever follow on it. */
+  /** Completes the pending writes and those that their callbacks start. */
   completeWrites(): void {
     for (
       let done = this.pendingWrites.shift();
--- a/test/storage/log-storage.test.ts
+++ b/test/storage/log-storage.test.ts
@@ -6,7 +6,7 @@
 import { encodeRecord, scanRecords } from '../../src/storage/record-format.js';
 import type { StorageFiles } from '../../src/storage/storage-files.js';
 
-/** Files in memory whose writes end at once. */
+/** In-memory files whose writes complete synchronously. */
 class MemoryFiles implements StorageFiles {
   readonly files = new Map<string, Buffer>();
   failing = false;
@@ -49,10 +49,10 @@
 }
 
 function ignore(): void {
-  // The outcome of the write is not of interest.
+  // The result of the write does not matter here.
 }
 
-/** A log with a vote and three entries. */
+/** Creates a log with a vote and three entries. */
 function createWrittenLog(): MemoryFiles {
   const files = create();
   const { storage } = open(files);
--- a/test/storage/stored-bytes.test.ts
+++ b/test/storage/stored-bytes.test.ts
@@ -1,6 +1,7 @@
 /**
- * Data folders of running deployments hold these bytes: a version that writes others can't go back, and one that reads
- * others loses its store. test/fixtures/stored-bytes.json holds each record as hexadecimal and as decoded text.
+ * Guards against changes of the storage format: a version that writes other bytes cannot be rolled back, and one that
+ * expects other bytes cannot read existing data folders. test/fixtures/stored-bytes.json holds each record as hexadecimal
+ * and as decoded text.
  */
 import { expect } from 'chai';
 import { readFileSync } from 'node:fs';
@@ -16,13 +17,13 @@
 type ShownFiles = Record<string, ShownRecord[]>;
 
 interface Pinned {
-  /** One of each type, as replicas propose them. */
+  /** One command of each type. */
   readonly commands: readonly unknown[];
-  /** A replica that asks to be let in, so that the log has an entry with a replica set. */
+  /** Request of a replica to join, which adds a log entry with a replica set. */
   readonly joinRequest: unknown;
   readonly filesBeforeSnapshot: ShownFiles;
   readonly filesAfterSnapshot: ShownFiles;
-  /** Of a version without declared sets. */
+  /** Snapshot written by a version without declared sets. */
   readonly oldState: { readonly hex: string; readonly text: string };
 }
 
@@ -41,7 +42,7 @@
   return replica;
 }
 
-/** A folder with every kind of record, of two terms. */
+/** Creates a data folder with every type of record, written in two terms. */
 async function writeDataFolder(clock: VirtualClock): Promise<MemoryFiles> {
   const files = new MemoryFiles();
   const first = startReplica(files, clock);
