--- a/src/common/bounded-map.ts
+++ b/src/common/bounded-map.ts
@@ -1,9 +1,9 @@
 /**
- * A map for what is learned of names that come and go, such as kinds and routes: full, it forgets all before it takes a
- * new name. What is learned is learned again soon, so no order of use is kept.
+ * A map with a maximum size, for observations by name of kind or route. Adding a key to a full map first removes all
+ * entries, instead of tracking which was used last: observations are soon made again.
  */
 export class BoundedMap<Value> extends Map<string, Value> {
-  /** @param maxEntries names that are remembered at once */
+  /** @param maxEntries maximum number of entries */
   constructor(private readonly maxEntries: number) {
     super();
   }
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,32 +1,31 @@
 /**
- * Time as the decision modules see it. Programs inject {@link SystemClock}; the simulator injects
- * a virtual clock, so that the same modules run unchanged in both. Owns the count of time for which the machine was
- * suspended; relies on the monotonic clock, the time of day and the time since the machine's start.
+ * Monotonic clock and timers. Programs inject {@link SystemClock}, and the simulator a virtual clock, so that the same
+ * modules run unchanged in both.
  */
 import { uptime } from 'node:os';
 import { MS_PER_SECOND } from './units.js';
 
-/** A scheduled callback that can be cancelled before it runs. */
+/** A scheduled callback. */
 export interface Timer {
-  /** Cancels the callback. Harmless when it has already run. */
+  /** Cancels the callback; has no effect if it has already run. */
   cancel(): void;
 }
 
-/** Monotonic time and scheduling. All values are milliseconds; never wall-clock time. */
+/** Monotonic time and scheduling, in milliseconds. */
 export interface Clock {
-  /** Monotonic milliseconds since an arbitrary origin, with a fraction. */
+  /** Returns the milliseconds since an arbitrary origin, with a fraction. */
   now(): number;
   /** Runs `callback` once after at least `delayMs` milliseconds. */
   schedule(delayMs: number, callback: () => void): Timer;
 }
 
-/** The clocks of the operating system that tell a suspended machine from one whose time of day was set. */
+/** Clocks of the operating system; together they distinguish a suspension from a change of the wall clock. */
 export interface ClockSources {
-  /** Monotonic milliseconds; stands still while the machine is suspended. */
+  /** Monotonic time; stops while the machine is suspended. */
   monotonicMs(): number;
-  /** Milliseconds since 1970; goes on meanwhile, and steps when it is set. */
+  /** Time since 1970; continues during a suspension, and jumps when the clock is set. */
   wallMs(): number;
-  /** Milliseconds since the machine was started; goes on meanwhile. Costs a read of a file on Linux. */
+  /** Time since boot; continues during a suspension. Reads a file on Linux. */
   uptimeMs(): number;
 }
 
@@ -36,19 +35,19 @@
   uptimeMs: () => uptime() * MS_PER_SECOND,
 };
 
-/** Shorter suspensions don't count, in milliseconds: the time since the start is told to 10 ms only. */
+/** Shorter suspensions are ignored, as the resolution of the uptime is only 10 ms. */
 const MIN_SUSPENSION_MS = 100;
-/** Most by which the two clocks that go on may differ over a suspension, in milliseconds. */
+/** Maximum difference between the advances of wall clock and uptime for a suspension to be recognised. */
 const MAX_CLOCK_DIFFERENCE_MS = 60;
 
 /**
- * The clock of a real process. Counts the time for which the machine was suspended: leases, deadlines and elections of a
- * machine that wakes would be late by it otherwise, and be believed. Timers that are overdue then run at the first look at
- * the clock.
+ * Clock of a process. Includes the time for which the machine was suspended: otherwise a resumed machine would use expired
+ * leases, deadlines and election timeouts. The call of {@link SystemClock.now} that detects a suspension also reschedules
+ * the timers.
  */
 export class SystemClock implements Clock {
   private suspendedMs = 0;
-  /** How far the other clocks are ahead of the steady one. */
+  // Offsets of the other clocks from the monotonic one.
   private wallOffsetMs: number;
   private uptimeOffsetMs: number;
   private readonly timers = new Set<SystemTimer>();
@@ -73,7 +72,7 @@
     return timer;
   }
 
-  /** The time of day was set, or the machine was suspended: then both other clocks have gained the same. */
+  /** Detects a suspension, after which wall clock and uptime have advanced equally; otherwise the wall clock was set. */
   private onWallOffsetChanged(wallOffsetMs: number, monotonicMs: number): void {
     const uptimeOffsetMs = this.sources.uptimeMs() - monotonicMs;
     const gainedMs = uptimeOffsetMs - this.uptimeOffsetMs;
@@ -87,7 +86,7 @@
   }
 }
 
-/** A timer that can be armed anew, in the set of those that have not run. */
+/** A timer that can be rescheduled. It is in the set of pending timers until it runs or is cancelled. */
 class SystemTimer implements Timer {
   private handle: NodeJS.Timeout | undefined;
 
@@ -99,7 +98,7 @@
     pending.add(this);
   }
 
-  /** Runs the callback after `delayMs` milliseconds, in place of when it was to run before. */
+  /** Schedules the callback to run in `delayMs` milliseconds, replacing an earlier schedule. */
   arm(delayMs: number): void {
     if (this.handle !== undefined) clearTimeout(this.handle);
     this.handle = setTimeout(runTimer, Math.max(0, delayMs), this);
@@ -120,5 +119,5 @@
   timer.run();
 }
 
-/** For modules at the rim that take no clock. */
+/** Shared clock for modules to which no clock is passed. */
 export const SYSTEM_CLOCK = new SystemClock();
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,34 +1,30 @@
 /**
- * Every error class of shoredoor, each with a stable code. Refusals on the call path are typed
- * results (see `call/refusal.ts`), not errors: building an error object there would cost the most
- * exactly when the system is overloaded. A plain `Error` is for mistakes in the code, and for the reason that a stream is
- * destroyed with. Relies on modern-errors.
+ * The error classes, each with a stable code. Refused calls are returned as results (see `call/refusal.ts`), not thrown:
+ * creating error objects would be expensive under overload. A plain `Error` is used for programming errors and as the
+ * reason when a stream is destroyed.
  */
 import ModernError from 'modern-errors';
 import type { Verdict } from './verdict.js';
 
-/** One fault in a settings file or a resource: where it is and what is allowed. */
+/** An invalid value in a settings file, resource or scenario. */
 export interface Fault {
-  /** Path of the faulty value, such as `groups[0].share`. Empty for the whole document. */
+  /** Path of the value, such as `groups[0].share`; empty for the whole document. */
   readonly path: string;
   /** What is wrong and what is allowed. */
   readonly message: string;
 }
 
-/** Base class of all errors; unknown errors are normalised to it. */
+/** Base class of all errors; unknown errors are converted to it. */
 export const ShoredoorError = ModernError.subclass('ShoredoorError', {
   custom: class extends ModernError {
-    /** Stable machine-readable code. */
+    /** Stable code for use by programs. */
     get code(): string {
       return 'SHOREDOOR_ERROR';
     }
   },
 });
 
-/**
- * A settings file, a resource or a scenario that does not follow its schema. Takes its faults as
- * `props: { faults }`.
- */
+/** A settings file, a resource or a scenario does not match its schema. The faults are passed as `props: { faults }`. */
 export const ValidationError = ShoredoorError.subclass('ValidationError', {
   props: { faults: [] as readonly Fault[] },
   custom: class extends ShoredoorError {
@@ -39,7 +35,7 @@
 });
 export type ValidationError = InstanceType<typeof ValidationError>;
 
-/** A command line that cannot be understood. */
+/** A command line is invalid. */
 export const UsageError = ShoredoorError.subclass('UsageError', {
   custom: class extends ShoredoorError {
     override get code(): string {
@@ -48,7 +44,7 @@
   },
 });
 
-/** A failed write or sync, or a damaged file, in the data folder. */
+/** A file operation in the data folder failed, or a file there is damaged. */
 export const StorageError = ShoredoorError.subclass('StorageError', {
   custom: class extends ShoredoorError {
     override get code(): string {
@@ -57,20 +53,19 @@
   },
 });
 
-/** What is known of a failed request to the resource API. */
+/** Properties of a {@link RequestError}. */
 export interface RequestErrorProps {
-  /** HTTP status, or 0 when there was no answer. */
+  /** HTTP status, or 0 without a response. */
   readonly status: number;
   /** Whether the request may have taken effect. */
   readonly verdict: Verdict;
 }
 
-/** What is known without an answer: nothing, so the request may have run. */
+/** Without a response it is unknown whether the request has run. */
 const NO_RESPONSE: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
 
 /**
- * A request to the resource API that was refused or whose answer was lost. Takes what is known as
- * `props: { status, verdict }`.
+ * A request to the resource API was refused or got no response. The details are passed as `props: { status, verdict }`.
  */
 export const RequestError = ShoredoorError.subclass('RequestError', {
   props: NO_RESPONSE,
--- a/src/common/http-status.ts
+++ b/src/common/http-status.ts
@@ -1,7 +1,4 @@
-/**
- * The HTTP statuses that shoredoor sends and reads, by their names in RFC 9110 (429 and 431: RFC 6585, 507: RFC 4918).
- * For every module that compares or writes a status; owns no state.
- */
+/** HTTP status codes, named as in RFC 9110 (429 and 431: RFC 6585, 507: RFC 4918). */
 export const HttpStatus = {
   Ok: 200,
   Created: 201,
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,18 +1,16 @@
-/**
- * Structured logs (JSON lines on standard output). Each part of a program has a fixed prefix. Owns nothing; relies on bunyan.
- */
+/** Structured logging with bunyan: JSON lines on standard output. Messages have the prefix of a component. */
 import bunyan from 'bunyan';
 
 /** Fields of a log record besides the message. */
 export type LogFields = Record<string, unknown>;
 
-/** The logger of one part. Messages are short sentences. */
+/** The logger of one component. Messages are short sentences. */
 export interface Logger {
   debug(message: string, fields?: LogFields): void;
   info(message: string, fields?: LogFields): void;
   warn(message: string, fields?: LogFields): void;
   error(message: string, fields?: LogFields): void;
-  /** A logger with another prefix and the same destination. */
+  /** Creates a logger with another prefix and the same destination. */
   part(name: string): Logger;
 }
 
@@ -47,7 +45,7 @@
   }
 }
 
-/** A logger for a program. @param processId the settings' `id`, part of every record */
+/** Creates the logger of a program. @param processId the `id` in the settings, added to each record */
 export function createLogger(prefix: string, processId: string, level: LogLevel): Logger {
   const target = bunyan.createLogger({
     name: 'shoredoor',
@@ -58,7 +56,7 @@
   return new PartLogger(target, prefix);
 }
 
-/** A logger that drops everything, for tests and the simulator. */
+/** A logger that discards all messages, for tests and the simulator. */
 export const SILENT_LOGGER: Logger = {
   debug: () => undefined,
   info: () => undefined,
--- a/src/common/message-codec.ts
+++ b/src/common/message-codec.ts
@@ -1,10 +1,10 @@
 /**
- * The encoding of everything that the system's own processes exchange and store: msgpack. Owns nothing; relies on msgpackr.
- * Messages and stored records outlive a version, so fields are added and never renamed.
+ * MessagePack encoding of the messages between processes and of stored records. Other versions read them as well, so
+ * fields may be added but not renamed.
  */
 import { pack, unpack } from 'msgpackr';
 
-/** Media type of such messages over HTTP. */
+/** Media type of encoded messages over HTTP. */
 export const MSGPACK_TYPE = 'application/msgpack';
 
 /** Encodes a message or a stored record. */
@@ -13,8 +13,8 @@
 }
 
 /**
- * Decodes a message or a stored record. The caller vouches for the type: the sender holds the link
- * token, or the bytes passed their checksum.
+ * Decodes a message or a stored record. The type is not checked: call this only for bytes from an authenticated peer or
+ * with a valid checksum.
  */
 export function decodeMessage<Message>(bytes: Uint8Array): Message {
   return unpack(bytes) as Message;
--- a/src/common/sliding-count.ts
+++ b/src/common/sliding-count.ts
@@ -1,19 +1,18 @@
 /**
- * Counts events of the last window of time, in steps: an event counts until its whole step has left the window, so the
- * count is never below that of any window of this length. For quotas, and for whatever else counts over a time that slides.
- *
- * Owns a ring of sums, one a step. Pure: the time is passed in, and may not run backwards.
+ * Counts events in a sliding time window, in a ring buffer with one bucket per step. An event counts until its whole step
+ * has left the window, so the count is never too low. The caller passes the time, which must not decrease.
  */
 
-/** Steps of a window: with 20 an event counts for up to a twentieth of the window too long. */
+/** An event counts for up to one step, a twentieth of the window, too long. */
 const STEPS_PER_WINDOW = 20;
-/** The window covers one step more than it is long, so that no event is forgotten early. */
+/** One bucket more than steps in the window, so that no event is removed too early. */
 const BUCKET_COUNT = STEPS_PER_WINDOW + 1;
 
+/** A counter of the events in a sliding time window. */
 export class SlidingCount {
   private readonly buckets = new Float64Array(BUCKET_COUNT);
   private readonly stepMs: number;
-  /** Number of the newest step. */
+  /** Number of the current step. */
   private step = -Infinity;
   private sum = 0;
 
@@ -22,15 +21,16 @@
     this.stepMs = windowMs / STEPS_PER_WINDOW;
   }
 
-  /** Events that count now. */
+  /** Returns the number of events in the window. */
   total(now: number): number {
     this.advance(now);
     return this.sum;
   }
 
   /**
-   * Counts an event, or as much of one as it stands for.
-   * @returns its step, for {@link remove}
+   * Counts an event.
+   * @param amount weight of the event
+   * @returns the step of the event, for {@link remove}
    */
   add(now: number, amount = 1): number {
     this.advance(now);
@@ -38,14 +38,14 @@
     return this.step;
   }
 
-  /** Takes an event back that counted in `step`, unless it has left the window. */
+  /** Removes an event that was counted in `step`, unless it has already left the window. */
   remove(step: number, now: number): void {
     this.advance(now);
     if (step >= this.step - STEPS_PER_WINDOW && this.buckets[bucketIndex(step)]! > 0)
       this.addToBucket(step, -1);
   }
 
-  /** Milliseconds until the oldest events stop counting; 0 where none counts. For whole events alone. */
+  /** Returns the milliseconds until the oldest events leave the window, or 0 without events. Requires events of weight 1. */
   msToNextExpiry(now: number): number {
     this.advance(now);
     if (this.sum === 0) return 0;
@@ -59,7 +59,7 @@
     this.sum += amount;
   }
 
-  /** Forgets the steps that have left the window, the newest first. */
+  /** Clears the buckets of the steps since the last call, which now hold events that have left the window. */
   private advance(now: number): void {
     const step = Math.floor(now / this.stepMs);
     const elapsedSteps = Math.min(step - this.step, BUCKET_COUNT);
--- a/src/common/validate.ts
+++ b/src/common/validate.ts
@@ -1,7 +1,4 @@
-/**
- * Turns zod's issues into the faults that shoredoor reports: every fault, with its path. For settings, resources and
- * scenarios. Owns nothing; relies on zod's messages, which operators read.
- */
+/** Validates settings, resources and scenarios with zod, and converts its issues to faults. */
 import type { z } from 'zod';
 import { ValidationError, type Fault } from './errors.js';
 
@@ -14,7 +11,7 @@
   return text;
 }
 
-/** The faults of `value` under `schema`; empty when it is valid. */
+/** Validates `value` and returns its faults; empty if it is valid. */
 export function faultsOf(schema: z.ZodType, value: unknown): Fault[] {
   const result = schema.safeParse(value);
   if (result.success) return [];
@@ -30,7 +27,8 @@
 
 /**
  * Parses `value` with `schema`.
- * @throws ValidationError naming every fault
+ * @param subject what the value is, for the error message
+ * @throws ValidationError with all faults
  */
 export function parseOrThrow<Output>(
   schema: z.ZodType<Output>,
--- a/src/common/virtual-clock.ts
+++ b/src/common/virtual-clock.ts
@@ -1,7 +1,4 @@
-/**
- * A clock whose time moves only when its owner advances it. Tests and the simulator use it, so
- * that a run depends on its seed and on nothing else. Owns the events that are due, in a heap; relies on no other clock.
- */
+/** A clock whose time only changes when it is advanced, for deterministic tests and simulations. */
 import type { Clock, Timer } from './clock.js';
 
 class ScheduledEvent implements Timer {
@@ -17,14 +14,14 @@
     this.cancelled = true;
   }
 
-  /** Earlier time first; among equal times, the order of scheduling. */
+  /** Orders events by due time, and those with the same due time in the order in which they were scheduled. */
   isBefore(other: ScheduledEvent): boolean {
     if (this.dueAt !== other.dueAt) return this.dueAt < other.dueAt;
     return this.sequence < other.sequence;
   }
 }
 
-/** Virtual time in milliseconds, backed by a binary heap of scheduled events. */
+/** Virtual time in milliseconds, with a binary heap of scheduled events. */
 export class VirtualClock implements Clock {
   private time = 0;
   private sequence = 0;
@@ -40,7 +37,7 @@
     return event;
   }
 
-  /** Runs every event due up to `untilMs` and then sets the time to `untilMs`. */
+  /** Runs the events that are due up to `untilMs`, and then sets the time to `untilMs`. */
   runUntil(untilMs: number): void {
     for (;;) {
       const next = this.heap[0];
@@ -52,7 +49,7 @@
     this.time = Math.max(this.time, untilMs);
   }
 
-  /** Advances the time by `durationMs`, running what falls due. */
+  /** Advances the time by `durationMs` and runs the events that become due. */
   advance(durationMs: number): void {
     this.runUntil(this.time + durationMs);
   }
--- a/src/policy/group-schema.ts
+++ b/src/policy/group-schema.ts
@@ -1,44 +1,44 @@
 /**
- * The `Group` resource of a declared set: callers who present one of its API keys, with the rank of their
- * requests and the rate that they share over the whole fleet. Owns the form and its faults; `group-table.ts` compiles it.
+ * Schema of the `Group` resource: callers that are identified by API keys, the rank of their requests and their shared
+ * rate limit across the fleet.
  */
 import { z } from 'zod';
 import type { Fault } from '../common/errors.js';
 
-// Bounds against mistakes, in characters and requests a second.
+// Upper bounds that reject mistyped values: characters, and requests per second.
 const MAX_NAME_LENGTH = 200;
 const MAX_KEY_LENGTH = 1_000;
 const MAX_RATE = 1e9;
 
-/** The names of the resources of a declared set. */
+/** Name of a resource in a declared set. */
 export const declaredNameSchema = z.string().min(1).max(MAX_NAME_LENGTH);
 
-/** A group of callers. Fields that this version does not know are kept. */
+/** A group of callers. Unknown fields of its spec are kept. */
 export const groupResourceSchema = z.strictObject({
   kind: z.literal('Group'),
   name: declaredNameSchema,
   spec: z.looseObject({
-    /** The API keys of its callers. Secrets: no log line, metric or error holds one. */
+    /** API keys of the callers. These are secrets and must not appear in logs, metrics or errors. */
     keys: z.array(z.string().min(1).max(MAX_KEY_LENGTH)).default([]),
-    /** 0 is the most urgent; comes before the rank of a route. Default 0. */
+    /** 0 is the most urgent; takes precedence over the rank of the route. Default 0. */
     rank: z.number().int().min(0).optional(),
-    /** Requests a second over the whole fleet; no limit where it is 0 or absent. */
+    /** Requests per second across the fleet; no limit if 0 or absent. */
     ratePerSecond: z.number().min(0).max(MAX_RATE).nullish(),
-    /** Requests that may come at once besides the rate. Default 0. */
+    /** Requests allowed at once in addition to the rate. Default 0. */
     burst: z.number().min(0).max(MAX_RATE).nullish(),
   }),
 });
 
-/** A group as it was declared: sets are kept as they came, so defaults of the schema are not filled in. */
+/** A group as declared. Sets are stored unchanged, so the schema's defaults are not applied. */
 export type GroupResource = z.input<typeof groupResourceSchema>;
 
-/** A group and its place among the resources of a set. */
+/** A group and its index in the resources of the set. */
 export interface IndexedGroup {
   readonly index: number;
   readonly group: GroupResource;
 }
 
-/** Keys that two groups hold. The faults name the groups, not the keys. */
+/** Finds API keys that belong to more than one group. The faults contain the names of the groups, not the keys. */
 export function sharedKeyFaults(groups: readonly IndexedGroup[]): Fault[] {
   const owners = new Map<string, string>();
   const faults: Fault[] = [];
--- a/src/policy/group-table.ts
+++ b/src/policy/group-table.ts
@@ -1,30 +1,32 @@
-/** The declared groups, compiled into the lookups that each call needs. Part of the policy table. */
+/** Lookup of the declared groups by name, API key and key hash. */
 import type { GroupResource } from './group-schema.js';
 import type { GroupDeclaration } from './resource-schema.js';
 
-/** Requests that the callers of a group may make, over the whole fleet. */
+/** Rate limit of a group across the fleet. */
 export interface GroupRate {
+  /** Requests per second. */
   readonly perSecond: number;
-  /** Requests besides, at once. */
+  /** Requests allowed at once in addition to the rate. */
   readonly burst: number;
 }
 
-/** A group as looked up for each call. */
+/** A declared group with defaults applied. */
 export interface Group {
   readonly name: string;
   /** Weight relative to the other groups. */
   readonly share: number;
-  /** 0 is the most urgent; comes before the rank of a route. */
+  /** 0 is the most urgent; takes precedence over the rank of the route. */
   readonly rank: number;
-  /** Undefined where the group has no limit. */
+  /** Undefined if the group has no limit. */
   readonly rate: GroupRate | undefined;
 }
 
-/** Share of a group that no policy names, relative to declared shares: it gets what the others leave. */
+/** Weight of an undeclared group; small, so that it only gets capacity that declared groups leave unused. */
 const UNKNOWN_GROUP_SHARE = 1e-3;
-/** Groups of a declared set have equal shares. */
+/** Weight of each group of a declared set. */
 const SET_GROUP_SHARE = 1;
 
+/** The declared groups of one revision. */
 export class GroupTable {
   private readonly byName = new Map<string, Group>();
   private readonly byKeyHash = new Map<string, Group>();
@@ -32,7 +34,7 @@
   private declaredShare = 0;
   private setGroupCount = 0;
 
-  /** Whether callers of routes have to present a key: a set declares groups. */
+  /** Whether routes require an API key: they do if the declared set contains groups. */
   get needsKeys(): boolean {
     return this.setGroupCount > 0;
   }
@@ -57,32 +59,32 @@
     for (const key of keys) this.byKey.set(key, group);
   }
 
-  /** The group of the callers who present this API key, or undefined. */
+  /** Returns the group with this API key, or undefined. */
   ofKey(key: string): Group | undefined {
     return this.byKey.get(key);
   }
 
-  /** The group whose callers present an API key with this SHA-256 hash, or undefined. */
+  /** Returns the group with an API key of this SHA-256 hash, or undefined. */
   findByKeyHash(keyHash: string): Group | undefined {
     return this.byKeyHash.get(keyHash);
   }
 
-  /** The group with this name, or undefined. */
+  /** Returns the group with this name, or undefined. */
   get(name: string): Group | undefined {
     return this.byName.get(name);
   }
 
-  /** Names of all groups. */
+  /** Returns the sorted names of all groups. */
   names(): string[] {
     return [...this.byName.keys()].sort();
   }
 
-  /** Weight of a group; tiny for one that is not declared. */
+  /** Returns the weight of a group, which is small for an undeclared one. */
   shareOf(name: string): number {
     return this.byName.get(name)?.share ?? UNKNOWN_GROUP_SHARE;
   }
 
-  /** Sum of the weights of all declared groups, and one unknown group's. */
+  /** Sum of the weights of all declared groups and one undeclared group. */
   get totalShare(): number {
     return this.declaredShare + UNKNOWN_GROUP_SHARE;
   }
--- a/src/policy/path-pattern.ts
+++ b/src/policy/path-pattern.ts
@@ -1,9 +1,9 @@
 /**
- * Path patterns of request kinds: literal segments, `{name}` for one segment, and a final `**` for
- * any rest.
+ * Path patterns of request kinds: literal segments, `{name}` for any one segment, and `**` at the end for any remaining
+ * path.
  */
 
-/** What a path pattern may look like; used by the resource schema. */
+/** Syntax of a path pattern. */
 export const PATH_PATTERN_SYNTAX =
   /^\/(?:(?:\{[a-zA-Z][a-zA-Z0-9]*\}|[A-Za-z0-9._~-]+)(?:\/(?:\{[a-zA-Z][a-zA-Z0-9]*\}|[A-Za-z0-9._~-]+))*)?(?:\/?\*\*)?$/;
 
@@ -13,10 +13,10 @@
 /** A compiled path pattern. */
 export class PathPattern {
   private readonly expression: RegExp;
-  /** Literal characters in the pattern; among several matches the most literal one wins. */
+  /** Number of literal characters, plus 0.5 without `**`. Of several matching patterns the highest one applies. */
   readonly specificity: number;
 
-  /** @param pattern a text that follows {@link PATH_PATTERN_SYNTAX} */
+  /** @param pattern a pattern that matches {@link PATH_PATTERN_SYNTAX} */
   constructor(readonly pattern: string) {
     const hasRest = pattern.endsWith(REST_SUFFIX);
     const fixed = hasRest ? pattern.slice(0, -REST_SUFFIX.length) : pattern;
@@ -29,7 +29,7 @@
     this.expression = new RegExp(`^${source}${hasRest ? '.*' : ''}$`);
   }
 
-  /** Whether `path` (without its query) matches. */
+  /** Whether the path matches. @param path request path without its query */
   matches(path: string): boolean {
     return this.expression.test(path);
   }
--- a/src/policy/policy-conflicts.ts
+++ b/src/policy/policy-conflicts.ts
@@ -1,11 +1,11 @@
 /**
- * Decides whether a policy may stand beside the others: a group, a kind, an API key, a route or the default group is declared by
- * one policy alone. Asked by the replicated store for each change, and by operators' commands for the files of a folder. Pure.
+ * Detects conflicts between policies: each group, kind, API key hash and route, and the default group, may be declared by
+ * only one policy.
  */
 import type { Fault } from '../common/errors.js';
 import type { PolicyResource, Resource } from './resource-schema.js';
 
-/** Finds who first declared a name, and reports later declarations by other policies. */
+/** Records who first declared each name, and reports later declarations by others. */
 class NameOwners {
   private readonly ownerByName = new Map<string, string>();
 
@@ -20,7 +20,7 @@
   }
 }
 
-/** What policies have declared so far. */
+/** The names that policies have declared. */
 class DeclaredNames {
   private readonly groups = new NameOwners('group');
   private readonly kinds = new NameOwners('kind');
@@ -28,7 +28,7 @@
   private readonly routes = new NameOwners('route');
   private readonly defaultGroups = new NameOwners('default group');
 
-  /** Adds what a policy declares. @returns its faults against those before it */
+  /** Adds the declarations of a policy. @returns its conflicts with the policies added before */
   add(policy: PolicyResource): Fault[] {
     const faults: Fault[] = [];
     const owner = `policy '${policy.name}'`;
@@ -60,10 +60,7 @@
   }
 }
 
-/**
- * Faults of `candidate` against the other resources: a group, a kind, an API key or a route that
- * another policy already declares, or a second default group.
- */
+/** Returns the conflicts of `candidate` with the other resources. */
 export function conflictFaults(candidate: Resource, others: Iterable<Resource>): Fault[] {
   if (candidate.kind !== 'Policy') return [];
   const declared = new DeclaredNames();
--- a/src/policy/policy-table.ts
+++ b/src/policy/policy-table.ts
@@ -1,6 +1,6 @@
 /**
- * The declared resources, compiled into the lookups that each call needs. Immutable: a new revision
- * gives a new table, and a call keeps the table it started with.
+ * Lookup table of the declared resources of one revision. Immutable: a new revision creates a new table, and a call uses
+ * the same table until it ends.
  */
 import { GroupTable, type Group } from './group-table.js';
 import { importanceFromName, type Importance } from './importance.js';
@@ -17,15 +17,19 @@
   type ServiceSpec,
 } from './resource-schema.js';
 
-/** A kind of request as looked up for each call. */
+/** A declared request kind, with the retry settings of its policy. */
 export interface RequestKind {
   readonly name: string;
   readonly service: string;
   readonly importance: Importance;
+  /** Whether the request may run more than once. */
   readonly repeatable: boolean;
+  /** Whether only services may send it. */
   readonly internal: boolean;
   readonly deadlineMs: number;
+  /** Maximum number of retries of one request over its whole call chain. */
   readonly retryAllowance: number;
+  /** Maximum ratio of retries to first attempts, per process. */
   readonly retryRatio: number;
 }
 
@@ -36,10 +40,10 @@
   readonly kind: RequestKind;
 }
 
-/** Methods whose requests may be repeated by definition (RFC 9110, section 9.2.2). */
+/** Idempotent methods (RFC 9110, section 9.2.2). */
 const IDEMPOTENT_METHODS: readonly string[] = ['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS', 'TRACE'];
 
-/** Compiled lookups over all declared resources of one revision. */
+/** The declared resources of one revision. */
 export class PolicyTable {
   private readonly kindsByName = new Map<string, RequestKind>();
   private readonly kindPatternsByMethod = new Map<string, KindPattern[]>();
@@ -47,12 +51,12 @@
   private readonly quarantines = new Map<string, QuarantineResource['spec']>();
   private defaultGroup: Group | undefined;
   readonly groups = new GroupTable();
-  /** The routes of the declared set. */
+  /** Routes of the declared set. */
   readonly routes: RouteTable;
   readonly ingress: IngressLimits;
 
   /**
-   * @param revision store revision that the resources stand at
+   * @param revision store revision of the resources
    * @param resources valid resources without conflicts (see `policy-conflicts.ts`)
    */
   constructor(
@@ -76,7 +80,7 @@
     }
   }
 
-  /** Services of a declared set may leave settings out. */
+  /** Adds a service; those of a declared set may omit settings. */
   private addService({ name, spec }: ServiceResource): void {
     this.servicesByName.set(name, { ...DEFAULT_SERVICE_SPEC, ...spec });
   }
@@ -107,64 +111,61 @@
     }
   }
 
-  /** The kind that `method` and `path` belong to, or undefined. */
+  /** Returns the kind that matches `method` and `path`, or undefined. */
   matchKind(method: string, path: string): RequestKind | undefined {
     const patterns = this.kindPatternsByMethod.get(method);
     return patterns?.find((candidate) => candidate.pattern.matches(path))?.kind;
   }
 
-  /** The kind with this name, or undefined. */
+  /** Returns the kind with this name, or undefined. */
   kind(name: string): RequestKind | undefined {
     return this.kindsByName.get(name);
   }
 
-  /** The group whose callers present an API key with this SHA-256 hash, else the default group. */
+  /** Returns the group with an API key of this SHA-256 hash, or else the default group. */
   groupOfKeyHash(hash: string | undefined): Group | undefined {
     if (hash === undefined) return this.defaultGroup;
     return this.groups.findByKeyHash(hash) ?? this.defaultGroup;
   }
 
-  /** Weight of the group; tiny for a group that this revision does not know. */
+  /** Returns the weight of a group, which is small for an undeclared one. */
   shareOf(groupName: string): number {
     return this.groups.shareOf(groupName);
   }
 
-  /** Sum of the weights of all declared groups, at least one unknown group's. */
+  /** Sum of the weights of all declared groups and one undeclared group. */
   get totalShare(): number {
     return this.groups.totalShare;
   }
 
-  /** The quarantine of the request with this fingerprint, in force or ended lately. */
+  /** Returns the quarantine, in force or recently ended, of the request with this fingerprint. */
   quarantine(fingerprint: string): QuarantineResource['spec'] | undefined {
     return this.quarantines.get(fingerprint);
   }
 
-  /** Number of quarantines, in force or ended lately. */
+  /** Number of quarantines that are in force or recently ended. */
   get quarantineCount(): number {
     return this.quarantines.size;
   }
 
-  /** Settings of the service's targets; defaults when none are declared. */
+  /** Returns the settings of a service, or the defaults if none are declared. */
   serviceSpec(service: string): ServiceSpec {
     return this.servicesByName.get(service) ?? DEFAULT_SERVICE_SPEC;
   }
 
-  /** Names of all services that a kind or a Service resource names. */
+  /** Returns the sorted names of all services in kinds and `Service` resources. */
   serviceNames(): string[] {
     const names = new Set(this.servicesByName.keys());
     for (const kind of this.kindsByName.values()) names.add(kind.service);
     return [...names].sort();
   }
 
-  /** Names of all groups. */
+  /** Returns the sorted names of all groups. */
   groupNames(): string[] {
     return this.groups.names();
   }
 
-  /**
-   * Whether a request to `service` may be repeated: as its kind declares, or by its method when no
-   * kind matches.
-   */
+  /** Whether a request may run more than once: as its kind declares, or by its method if no kind of the service matches. */
   isRepeatable(service: string, method: string, path: string): boolean {
     const kind = this.matchKind(method, path);
     if (kind !== undefined && kind.service === service) return kind.repeatable;
@@ -172,5 +173,5 @@
   }
 }
 
-/** The table before any revision has been received: it knows no kind and no group. */
+/** The table before the first revision is received; it has no kinds and no groups. */
 export const EMPTY_POLICY_TABLE = new PolicyTable(0, []);
--- a/src/policy/resource-schema.ts
+++ b/src/policy/resource-schema.ts
@@ -1,7 +1,7 @@
 /**
- * The resources operators declare: `Policy` (groups, shares, kinds, importance, retry and deadline
- * rules) and `Service` (settings for a service's targets). Unknown keys are refused. Also the resources that control declares itself (`ClaimView`,
- * `Quarantine`). Owns the forms and their faults; what two resources may not both say is decided in `policy-table.ts`.
+ * Schemas of the resources: `Policy` (groups, shares, kinds, importance, retries, deadlines) and `Service` (settings of a
+ * service's targets), which operators declare, and `ClaimView` and `Quarantine`, which control declares. Unknown keys are
+ * rejected. Conflicts between policies are found in `policy-conflicts.ts`.
  */
 import { z } from 'zod';
 import { faultsOf, parseOrThrow } from '../common/validate.js';
@@ -11,24 +11,24 @@
 import { groupResourceSchema } from './group-schema.js';
 import { ingressResourceSchema, routeResourceSchema } from './route-schema.js';
 
-// Bounds against mistakes: milliseconds, retries of a request, requests at once.
+// Upper bounds that reject mistyped values: milliseconds, retries per request, concurrent requests.
 const MAX_DEADLINE_MS = 600_000;
 const MAX_RETRY_ALLOWANCE = 10;
 const MAX_CONCURRENCY = 10_000;
-/** Milliseconds from arrival to the last moment an answer is of use. */
+/** Deadline of a request, measured from its arrival. */
 const DEFAULT_DEADLINE_MS = 2_000;
-/** Retries of one request over its whole chain. */
+/** Retries of one request over its whole call chain. */
 const DEFAULT_RETRY_ALLOWANCE = 2;
-/** Retries for each first attempt of a process. */
+/** Ratio of retries to first attempts, per process. */
 const DEFAULT_RETRY_RATIO = 0.1;
-/** Longest time in the queue of a node, in milliseconds. */
+/** Maximum time in the queue of a node. */
 const DEFAULT_QUEUE_WAIT_MS = 100;
-/** Connections from a node to its target. */
+/** Maximum number of connections from a node to its target. */
 const DEFAULT_CONNECTIONS = 100;
-/** Time over which a new target takes up its load, in milliseconds. */
+/** Duration of the slow start of a new target. */
 const DEFAULT_SLOW_START_MS = 10_000;
 
-/** Names of resources, groups, kinds and services. */
+/** Name of a resource, group, kind or service. */
 export const nameSchema = z
   .string()
   .regex(/^[a-z][a-z0-9-]{0,62}$/, 'must be lower-case letters, digits and hyphens, at most 63');
@@ -58,26 +58,26 @@
   service: nameSchema,
   match: z.array(matchSchema).min(1, 'must have at least one method and path'),
   importance: z.enum(IMPORTANCE_NAMES),
-  /** Whether running the request twice is harmless. */
+  /** Whether the request may run more than once. */
   repeatable: z.boolean(),
   /** Whether only services may send it; edges answer 404 to callers from outside. */
   internal: z.boolean().default(false),
-  /** Milliseconds from arrival at the edge to the last moment an answer is of use. */
+  /** Milliseconds from the arrival at the edge until the answer is no longer useful. */
   deadlineMs: z.number().int().min(1).max(MAX_DEADLINE_MS).default(DEFAULT_DEADLINE_MS),
 });
 
 const retrySchema = z
   .strictObject({
-    /** Most retries for one request over its whole chain. */
+    /** Maximum number of retries of one request over its whole call chain. */
     allowance: z.number().int().min(0).max(MAX_RETRY_ALLOWANCE).default(DEFAULT_RETRY_ALLOWANCE),
-    /** Most retries as a ratio of first attempts, for each process. */
+    /** Maximum ratio of retries to first attempts, per process. */
     ratio: z.number().min(0).max(1).default(DEFAULT_RETRY_RATIO),
   })
   .default({ allowance: DEFAULT_RETRY_ALLOWANCE, ratio: DEFAULT_RETRY_RATIO });
 
 const policySpecSchema = z.strictObject({
   groups: z.array(groupSchema).min(1, 'must have at least one group'),
-  /** Group of callers that present no known API key. Refused (401) when absent. */
+  /** Group of callers without a known API key. If absent, their requests are refused with 401. */
   defaultGroup: nameSchema.optional(),
   kinds: z.array(kindSchema).min(1, 'must have at least one kind'),
   retry: retrySchema,
@@ -95,31 +95,29 @@
   });
 
 const serviceSpecSchema = z.strictObject({
-  /** Concurrent requests the node lets into its target. */
+  /** Limit on the concurrent requests from the node to its target. */
   concurrency: concurrencySchema.default({
     algorithm: 'adaptive',
     initial: 10,
     min: 1,
     max: 200,
   }),
-  /** Most connections a node opens to its target. */
+  /** Maximum number of connections from a node to its target. */
   connections: z.number().int().min(1).max(10_000).default(DEFAULT_CONNECTIONS),
-  /** Longest time a call may wait at the node, in milliseconds. */
+  /** Maximum time in the queue of the node, in milliseconds. */
   queueWaitMs: z.number().int().min(0).max(60_000).default(DEFAULT_QUEUE_WAIT_MS),
-  /** Time over which a new or returned target takes up its full load, in milliseconds. */
+  /** Duration over which the load of a new or recovered target rises to its full share, in milliseconds. */
   slowStartMs: z.number().int().min(0).max(600_000).default(DEFAULT_SLOW_START_MS),
-  /** Path of the targets' health check, for sidecars that look for their target. */
+  /** Path of the targets' health check, which sidecars use to detect their target. */
   healthCheckPath: z.string().startsWith('/').optional(),
 });
 
-/** A sharing policy. */
 export const policyResourceSchema = z.strictObject({
   kind: z.literal('Policy'),
   name: nameSchema,
   spec: policySpecSchema,
 });
 
-/** Settings for the targets of a service. */
 export const serviceResourceSchema = z.strictObject({
   kind: z.literal('Service'),
   name: nameSchema,
@@ -129,44 +127,41 @@
 const claimMemberSchema = z.strictObject({
   id: nameSchema,
   zone: nameSchema,
-  /** Of the node's process when the view was declared. */
+  /** Incarnation of the node's process when the view was declared. */
   incarnation: z.number().int(),
 });
 
-/**
- * Which nodes keep a service's claims of idempotency keys. Declared by control itself: operators
- * read it and can't change it.
- */
+/** The nodes that store a service's claims of idempotency keys. Declared by control and read-only for operators. */
 export const claimViewResourceSchema = z.strictObject({
   kind: z.literal('ClaimView'),
   name: nameSchema,
   spec: z.strictObject({
-    /** Counts the views of the service, from 1. */
+    /** Number of this view among those of the service, from 1. */
     epoch: z.number().int().min(1),
     members: z.array(claimMemberSchema),
-    /** Members of the view before, whose claims are taken over. */
+    /** Members of the previous view, from which claims are transferred. */
     previousMembers: z.array(claimMemberSchema),
   }),
 });
 
 /**
- * A request that is kept from targets because it crashes them, named by its fingerprint. Declared by control itself:
- * operators read and delete it, and can't change it.
+ * A request that is not forwarded to targets because it crashes them; its name is the request's fingerprint. Declared by
+ * control; operators can read and delete it.
  */
 export const quarantineResourceSchema = z.strictObject({
   kind: z.literal('Quarantine'),
   name: nameSchema,
   spec: z.strictObject({
-    /** False once its time is over: the request runs again, and the next crash under it renews the quarantine. */
+    /** False once the quarantine has expired: the request is forwarded again, and its next crash renews the quarantine. */
     inForce: z.boolean(),
-    /** Wall-clock milliseconds of the leader at which this state ends. */
+    /** Time at which this state ends, in milliseconds since 1970 by the leader's clock. */
     until: z.number().int(),
-    /** Times that it has been put in force. */
+    /** How many times the quarantine has been put in force. */
     terms: z.number().int().min(1),
   }),
 });
 
-/** Any resource. */
+/** A resource of any kind. */
 export const resourceSchema = z.discriminatedUnion('kind', [
   policyResourceSchema,
   serviceResourceSchema,
@@ -187,13 +182,12 @@
 export type KindDeclaration = PolicyResource['spec']['kinds'][number];
 export type GroupDeclaration = PolicyResource['spec']['groups'][number];
 
-/** The resource kinds that operators declare, in the order in which a directory is applied. */
+/** Resource kinds that operators declare one by one, in the order in which the files of a folder are applied. */
 export const DECLARED_KINDS: readonly ResourceKind[] = ['Service', 'Policy'];
 
-/** The resource kinds that operators may delete: a quarantine that keeps a sound request from targets, too. */
+/** Resource kinds that operators may delete. This includes quarantines, in case one blocks a harmless request. */
 export const DELETABLE_KINDS: readonly ResourceKind[] = [...DECLARED_KINDS, 'Quarantine'];
 
-/** All resource kinds. */
 export const RESOURCE_KINDS: readonly ResourceKind[] = [
   ...DECLARED_KINDS,
   'ClaimView',
@@ -203,10 +197,10 @@
   'Group',
 ];
 
-/** The settings of a service for which no `Service` resource is declared. */
+/** Settings of a service without a `Service` resource. */
 export const DEFAULT_SERVICE_SPEC: ServiceSpec = serviceSpecSchema.parse({});
 
-/** Faults inside one policy that a schema cannot express. */
+/** Finds faults within a policy that the schema cannot express. */
 function policyFaults(resource: Resource): Fault[] {
   if (resource.kind !== 'Policy') return [];
   const faults: Fault[] = [];
@@ -234,7 +228,7 @@
   return faults;
 }
 
-/** Every fault of `value` as a resource; empty when it is valid. */
+/** Returns all faults of `value` as a resource; empty if it is valid. */
 export function resourceFaults(value: unknown): Fault[] {
   const faults = faultsOf(resourceSchema, value);
   if (faults.length > 0) return faults;
@@ -242,8 +236,8 @@
 }
 
 /**
- * Parses a resource, filling in defaults.
- * @throws ValidationError naming every fault
+ * Parses a resource and applies defaults.
+ * @throws ValidationError with all faults
  */
 export function parseResource(value: unknown): Resource {
   return parseOrThrow(resourceSchema, value, 'resource');
--- a/src/policy/route-schema.ts
+++ b/src/policy/route-schema.ts
@@ -1,15 +1,14 @@
 /**
- * The resources of a declared set (see `control/declaration-api.ts`): `Route` (which requests go to
- * which services, and what they are worth), `Ingress` (limits on what clients may send), `Group` (who
- * may call, and how often), and `Service`. Specs are kept as they were declared, fields that this version does not know included,
- * so that a set reads back as it was written; defaults are applied where routes are compiled.
+ * Schemas of the resources of a declared set (see `control/declaration-api.ts`): `Route` (services, timeout and rank of
+ * requests), `Ingress` (limits on requests of clients), `Group` (callers and their rate limits) and `Service`. Specs are
+ * stored unchanged, including unknown fields, so that a set reads back as written; defaults are applied in `route-table.ts`.
  */
 import { z } from 'zod';
 import type { Fault } from '../common/errors.js';
 import { faultsOf } from '../common/validate.js';
 import { declaredNameSchema, groupResourceSchema, sharedKeyFaults } from './group-schema.js';
 
-// Bounds against mistakes: milliseconds, characters (of a host, RFC 1035), and targets of one request.
+// Upper bounds that reject mistyped values: milliseconds, characters (of a host: RFC 1035), targets of one request.
 const MAX_TIME_MS = 3_600_000;
 const MAX_HOST_LENGTH = 253;
 const MAX_PREFIX_LENGTH = 4_096;
@@ -18,14 +17,14 @@
 const timeSchema = z.number().positive('must be greater than 0').max(MAX_TIME_MS);
 
 /**
- * What may be repeated: `repeatable` requests may run more than once, `once` requests at most once,
- * and `bulk` requests are repeatable with large answers.
+ * How often a request may run: `repeatable` ones any number of times, `once` ones at most once; `bulk` ones are repeatable
+ * and have large responses.
  */
 export const ROUTE_SEMANTICS = ['repeatable', 'once', 'bulk'] as const;
 
 const backendSchema = z.looseObject({
   service: declaredNameSchema,
-  /** Share of the requests relative to the other backends. */
+  /** Weight relative to the other backends. */
   weight: z.number().min(0),
 });
 
@@ -37,18 +36,18 @@
       .max(MAX_PREFIX_LENGTH)
       .regex(/^\/(?:.*\/)?$/, 'must begin and end with a slash'),
     semantics: z.enum(ROUTE_SEMANTICS),
-    /** Longest time that a request is held, in milliseconds. */
+    /** Maximum duration of a request, in milliseconds. */
     timeoutMs: timeSchema,
-    /** Time within which an answer is worth its full credit, in milliseconds. Default: the timeout. */
+    /** Latency objective in milliseconds. Default: the timeout. */
     objectiveMs: timeSchema.optional(),
     /** 0 is the most urgent. Default 0. */
     rank: z.number().int().min(0).optional(),
-    /** Most targets that one request may be sent to. Default 1. */
+    /** Maximum number of targets that one request is sent to. Default 1. */
     maxTargets: z.number().int().min(1, 'must be at least 1').max(MAX_TARGETS).optional(),
-    /** The one service that serves the route, where there are no backends. */
+    /** Service of the route; mutually exclusive with `backends`. */
     service: declaredNameSchema.optional(),
     backends: z.array(backendSchema).min(1).optional(),
-    /** Whether requests need no API key. Default false. */
+    /** Whether requests are accepted without an API key. Default false. */
     anonymous: z.boolean().optional(),
   })
   .refine((spec) => (spec.service === undefined) !== (spec.backends === undefined), {
@@ -60,28 +59,28 @@
     message: 'must have a weight above 0',
   });
 
-/** Requests by host and longest path prefix, and the services that run them. */
+/** Assigns requests to services by host and longest path prefix. */
 export const routeResourceSchema = z.strictObject({
   kind: z.literal('Route'),
   name: declaredNameSchema,
   spec: routeSpecSchema,
 });
 
-/** Limits on what clients may send. */
+/** Limits on requests and connections of clients. */
 export const ingressResourceSchema = z.strictObject({
   kind: z.literal('Ingress'),
   name: declaredNameSchema,
   spec: z.looseObject({
     maxHeaderBytes: z.number().int().min(1).optional(),
     maxBodyBytes: z.number().int().min(0).optional(),
-    /** Longest time for the headers of a request to arrive, in milliseconds. */
+    /** Timeout for receiving the headers of a request, in milliseconds. */
     headerTimeoutMs: timeSchema.optional(),
-    /** Longest time that a kept connection may rest, in milliseconds. */
+    /** Timeout of an idle keep-alive connection, in milliseconds. */
     idleTimeoutMs: timeSchema.optional(),
   }),
 });
 
-/** A service in a declared set: every setting is optional. */
+/** A service in a declared set; all settings are optional. */
 const declaredServiceSchema = z.strictObject({
   kind: z.literal('Service'),
   name: declaredNameSchema,
@@ -91,7 +90,7 @@
   }),
 });
 
-/** Any resource of a declared set. */
+/** A resource of any kind that a declared set may contain. */
 export const declaredResourceSchema = z.discriminatedUnion('kind', [
   routeResourceSchema,
   ingressResourceSchema,
@@ -104,15 +103,15 @@
 export type IngressResource = z.infer<typeof ingressResourceSchema>;
 export type SetResource = z.infer<typeof declaredResourceSchema>;
 
-/** The kinds that a declared set consists of. */
+/** Resource kinds that a declared set may contain. */
 export const SET_KINDS: readonly SetResource['kind'][] = ['Route', 'Service', 'Ingress', 'Group'];
 
-/** The services that a route names. */
+/** Returns the services of a route. */
 export function servicesOf(spec: RouteSpec): string[] {
   return spec.backends?.map((backend) => backend.service) ?? [spec.service ?? ''];
 }
 
-/** Every fault of the resources of a set, each alone and against one another. */
+/** Returns the faults of each resource of a set or, if there are none, the conflicts between the resources. */
 export function declarationFaults(resources: readonly unknown[]): Fault[] {
   const faults = resources.flatMap((resource, index) =>
     faultsOf(declaredResourceSchema, resource).map(({ path, message }) => ({
@@ -123,7 +122,7 @@
   return faults.length > 0 ? faults : crossResourceFaults(resources as readonly SetResource[]);
 }
 
-/** Names that stand twice, places that two routes claim, services that no resource declares. */
+/** Finds duplicate names, routes with the same host and path prefix, undeclared services, and shared API keys. */
 function crossResourceFaults(resources: readonly SetResource[]): Fault[] {
   const faults: Fault[] = [];
   const seenKeys = new Set<string>();
--- a/src/policy/route-table.ts
+++ b/src/policy/route-table.ts
@@ -1,35 +1,35 @@
-/**
- * The declared routes, compiled into the lookup that each request needs. Immutable, like the policy
- * table that holds it: a request keeps the route it was matched with.
- */
+/** Lookup of the declared routes by host and longest path prefix. Immutable, like the policy table that contains it. */
 import { HIGHEST_IMPORTANCE, type Importance } from './importance.js';
 import { servicesOf, type IngressResource, type RouteResource } from './route-schema.js';
 
-/** One of the services of a route. */
+/** A service of a route. */
 export interface Backend {
   readonly service: string;
+  /** Weight relative to the other backends of the route. */
   readonly weight: number;
 }
 
-/** A route as looked up for each request. */
+/** A declared route with defaults applied. */
 export interface Route {
   readonly name: string;
   /** Whether a request may run more than once. */
   readonly repeatable: boolean;
-  /** Whether answers are large. */
+  /** Whether responses are large. */
   readonly bulk: boolean;
   readonly timeoutMs: number;
+  /** Latency objective. */
   readonly objectiveMs: number;
   /** 0 is the most urgent. */
   readonly rank: number;
   readonly importance: Importance;
+  /** Maximum number of targets that one request is sent to. */
   readonly maxTargets: number;
   readonly backends: readonly Backend[];
-  /** Whether requests need no API key. */
+  /** Whether requests are accepted without an API key. */
   readonly anonymous: boolean;
 }
 
-/** Limits on what clients may send, with defaults. */
+/** Limits on requests and connections of clients. */
 export interface IngressLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -37,7 +37,6 @@
   readonly idleTimeoutMs: number;
 }
 
-/** What holds where no Ingress resource says otherwise: bytes and milliseconds. */
 export const DEFAULT_INGRESS_LIMITS: IngressLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 64 * 1024 * 1024,
@@ -45,9 +44,10 @@
   idleTimeoutMs: 30_000,
 };
 
-/** Targets that one request may be sent to where its route does not say: no second attempt elsewhere. */
+/** With one target, a request is not retried at another. */
 const DEFAULT_MAX_TARGETS = 1;
 
+/** The declared routes of one revision. */
 export class RouteTable {
   /** Routes by host, then by path prefix. */
   private readonly hosts = new Map<string, Map<string, Route>>();
@@ -56,7 +56,7 @@
     for (const resource of routes) this.add(resource);
   }
 
-  /** The route with the longest prefix of `path` at `host`, or undefined. */
+  /** Returns the route of `host` with the longest path prefix that matches, or undefined. */
   match(host: string | undefined, path: string): Route | undefined {
     const prefixes = this.hosts.get(normalizeHost(host));
     if (prefixes === undefined) return undefined;
@@ -92,17 +92,17 @@
   };
 }
 
-/** Ranks beyond the least importance share it. */
+/** Maps rank 0 to the highest importance; all ranks from 3 on have the lowest. */
 function importanceFromRank(rank: number): Importance {
   return Math.max(0, HIGHEST_IMPORTANCE - rank) as Importance;
 }
 
-/** A `Host` value without its port, in lower case (RFC 9110, section 4.2.3). */
+/** Removes the port from a `Host` value and converts it to lower case (RFC 9110, section 4.2.3). */
 function normalizeHost(host: string | undefined): string {
   return (host ?? '').toLowerCase().replace(/:\d+$/, '');
 }
 
-/** The limits of an Ingress resource, with defaults. */
+/** Applies the defaults to an Ingress resource. */
 export function ingressLimits(resource: IngressResource | undefined): IngressLimits {
   const spec = resource?.spec;
   return {
--- a/test/common/suspended-clock.test.ts
+++ b/test/common/suspended-clock.test.ts
@@ -1,8 +1,6 @@
 /**
- * A machine that had been suspended for seconds would trust its leases, deadlines and views for that much longer after it woke:
- * `performance.now` and timers stand still meanwhile, while the other machines' clocks go on. So a target that last reported
- * 5.5 s before would still count as ready where 3 s are the limit, and a call would be sent on with time that its caller no
- * longer has. What tells a suspension from a step of the time of day is the time since the start, which only the former moves.
+ * Guards against a resumed machine that uses expired leases and deadlines: `performance.now` and timers stop during a
+ * suspension. A change of the wall clock must not count as a suspension; unlike a suspension, it leaves the uptime as it is.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -10,7 +8,7 @@
 import { OverdueProbe } from '../support/overdue-probe.js';
 import { TargetLease } from '../../src/membership/target-lease.js';
 
-/** The clocks of a machine that a test suspends, and whose time of day it sets. */
+/** The clocks of a machine that a test can suspend and whose wall clock it can set. */
 class TestMachine implements ClockSources {
   private monotonic = 1_000;
   private wall = 1_700_000_000_000;
@@ -43,7 +41,7 @@
     this.wall += byMs;
   }
 
-  /** As on a platform whose time since the start is not that of the other clocks. */
+  /** Simulates a platform whose uptime does not agree with the other clocks. */
   driftUptime(byMs: number): void {
     this.uptime += byMs;
   }
--- a/test/policy/group-schema.test.ts
+++ b/test/policy/group-schema.test.ts
@@ -16,9 +16,8 @@
     expect(JSON.stringify(faults)).to.not.include('k-2');
   });
 
-  // Symptom: a set with a group that holds no `keys` was answered by a closed connection. Sequence: such a set is put.
-  // Cause: sets are kept as they came, so the default of the schema is not there when keys are compared. What settled it:
-  // the same set with `keys: []` was taken.
+  // Guards against an exception in the comparison of keys, which closed the connection of the client: the schema's default
+  // for `keys` is not applied to a declared set.
   it('may hold no keys at all', () => {
     const bare = { kind: 'Group', name: 'a', spec: {} };
     expect(declarationFaults([bare, group('b', ['k-1'])])).to.deep.equal([]);
