--- a/src/common/sliding-count.ts
+++ b/src/common/sliding-count.ts
@@ -59,7 +59,7 @@
     this.sum += amount;
   }
 
-  /** Clears the buckets of the steps since the last call, which now hold events that have left the window. */
+  /** Clears the buckets that the new steps reuse; their events have left the window. */
   private advance(now: number): void {
     const step = Math.floor(now / this.stepMs);
     const elapsedSteps = Math.min(step - this.step, BUCKET_COUNT);
