--- a/src/storage/disk-files.ts
+++ b/src/storage/disk-files.ts
@@ -1,6 +1,6 @@
 /**
- * {@link StorageFiles} in a folder of the file system. Each write is synced before it is reported, and a failure of the system
- * is a StorageError with its cause; the replica takes no part until its disk takes writes again. Owns the open log file.
+ * File system implementation of {@link StorageFiles}. Each write is synced before its callback runs, and a failed system
+ * call is reported as a StorageError with its cause.
  */
 import {
   closeSync,
@@ -17,7 +17,7 @@
 import { StorageError } from '../common/errors.js';
 import type { AppendFile, FileCallback, StorageFiles } from './storage-files.js';
 
-function failure(action: string, cause: unknown): Error {
+function storageError(action: string, cause: unknown): Error {
   return new StorageError(`Could not ${action}.`, { cause });
 }
 
@@ -39,7 +39,10 @@
     });
   }
 
-  /** Closes the file once the write under way is over: its descriptor must not be reused before. */
+  /**
+   * Closes the file after the write in progress. Closed earlier, the descriptor could be reused by another file or
+   * connection that would then receive the rest of the write.
+   */
   close(): void {
     if (this.isClosing) return;
     this.isClosing = true;
@@ -48,7 +51,7 @@
 
   private writeAll(bytes: Uint8Array, done: FileCallback): void {
     write(this.descriptor, bytes, 0, bytes.length, null, (error, written) => {
-      if (error !== null) done(failure(`write ${this.path}`, error));
+      if (error !== null) done(storageError(`write ${this.path}`, error));
       else if (written < bytes.length) this.writeAll(bytes.subarray(written), done);
       else this.sync(done);
     });
@@ -56,18 +59,18 @@
 
   private sync(done: FileCallback): void {
     fdatasync(this.descriptor, (error) => {
-      done(error === null ? undefined : failure(`sync ${this.path}`, error));
+      done(error === null ? undefined : storageError(`sync ${this.path}`, error));
     });
   }
 }
 
 export class DiskFiles implements StorageFiles {
-  /** Creates the folder when there is none. @throws StorageError */
+  /** Creates the folder if it does not exist. @throws StorageError */
   constructor(private readonly folder: string) {
     try {
       mkdirSync(folder, { recursive: true });
     } catch (error) {
-      throw failure(`create the data folder ${folder}`, error);
+      throw storageError(`create the data folder ${folder}`, error);
     }
   }
 
@@ -76,14 +79,14 @@
       return readFileSync(join(this.folder, name));
     } catch (error) {
       if ((error as NodeJS.ErrnoException).code === 'ENOENT') return undefined;
-      throw failure(`read ${name}`, error);
+      throw storageError(`read ${name}`, error);
     }
   }
 
   replace(name: string, bytes: Uint8Array, done: FileCallback): void {
     this.writeAndRename(name, bytes).then(
       () => done(undefined),
-      (error: unknown) => done(failure(`replace ${name}`, error)),
+      (error: unknown) => done(storageError(`replace ${name}`, error)),
     );
   }
 
@@ -91,28 +94,28 @@
     const path = join(this.folder, name);
     let descriptor: number | undefined;
     try {
-      // Opened for appending, so that writes go to the end whatever was cut off.
+      // In append mode each write goes to the end of the file as it is after the truncation below.
       descriptor = openSync(path, 'a');
       ftruncateSync(descriptor, size);
       fsyncSync(descriptor);
       return new DiskAppendFile(descriptor, path);
     } catch (error) {
       if (descriptor !== undefined) closeSync(descriptor);
-      throw failure(`open ${path}`, error);
+      throw storageError(`open ${path}`, error);
     }
   }
 
   private async writeAndRename(name: string, bytes: Uint8Array): Promise<void> {
     const path = join(this.folder, name);
-    const temporary = `${path}.new`;
-    const file = await open(temporary, 'w');
+    const temporaryPath = `${path}.new`;
+    const file = await open(temporaryPath, 'w');
     try {
       await file.writeFile(bytes);
       await file.sync();
     } finally {
       await file.close();
     }
-    await rename(temporary, path);
+    await rename(temporaryPath, path);
     const folder = await open(this.folder, 'r');
     try {
       await folder.sync();
--- a/test/common/suspended-clock.test.ts
+++ b/test/common/suspended-clock.test.ts
@@ -1,8 +1,6 @@
 /**
- * A machine that had been suspended for seconds would trust its leases, deadlines and views for that much longer after it woke:
- * `performance.now` and timers stand still meanwhile, while the other machines' clocks go on. So a target that last reported
- * 5.5 s before would still count as ready where 3 s are the limit, and a call would be sent on with time that its caller no
- * longer has. What tells a suspension from a step of the time of day is the time since the start, which only the former moves.
+ * Guards against a resumed machine that uses expired leases and deadlines: `performance.now` and timers stop during a
+ * suspension. A change of the wall clock must not count as a suspension; unlike a suspension, it leaves the uptime as it is.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -10,14 +8,14 @@
 import { OverdueProbe } from '../support/overdue-probe.js';
 import { TargetLease } from '../../src/membership/target-lease.js';
 
-/** The clocks of a machine that a test suspends, and whose time of day it sets. */
+/** The clocks of a machine that a test can suspend and whose wall clock it can set. */
 class TestMachine implements ClockSources {
-  private steady = 1_000;
+  private monotonic = 1_000;
   private wall = 1_700_000_000_000;
   private uptime = 50_000;
 
-  steadyMs(): number {
-    return this.steady;
+  monotonicMs(): number {
+    return this.monotonic;
   }
 
   wallMs(): number {
@@ -29,7 +27,7 @@
   }
 
   run(durationMs: number): void {
-    this.steady += durationMs;
+    this.monotonic += durationMs;
     this.wall += durationMs;
     this.uptime += durationMs;
   }
@@ -43,13 +41,13 @@
     this.wall += byMs;
   }
 
-  /** As on a platform whose time since the start is not that of the other clocks. */
+  /** Simulates a platform whose uptime does not agree with the other clocks. */
   driftUptime(byMs: number): void {
     this.uptime += byMs;
   }
 }
 
-function clockOf(machine: TestMachine): SystemClock {
+function createClock(machine: TestMachine): SystemClock {
   return new SystemClock(machine);
 }
 
@@ -59,7 +57,7 @@
 
   beforeEach(() => {
     machine = new TestMachine();
-    clock = clockOf(machine);
+    clock = createClock(machine);
   });
 
   function elapsed(step: () => void): number {
@@ -99,7 +97,7 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         machine = new TestMachine();
-        clock = clockOf(machine);
+        clock = createClock(machine);
         for (const { kind, ms } of steps) {
           const passed = elapsed(() => {
             if (kind === 'run') machine.run(ms);
--- a/test/storage/stored-bytes.test.ts
+++ b/test/storage/stored-bytes.test.ts
@@ -1,6 +1,7 @@
 /**
- * Data folders of running deployments hold these bytes: a version that writes others can't go back, and one that reads
- * others loses its store. test/fixtures/stored-bytes.json holds each record as hexadecimal and as decoded text.
+ * Guards against changes of the storage format: a version that writes other bytes cannot be rolled back, and one that
+ * expects other bytes cannot read existing data folders. test/fixtures/stored-bytes.json holds each record as hexadecimal
+ * and as decoded text.
  */
 import { expect } from 'chai';
 import { readFileSync } from 'node:fs';
@@ -16,20 +17,24 @@
 type ShownFiles = Record<string, ShownRecord[]>;
 
 interface Pinned {
-  /** One of each type, as replicas propose them. */
+  /** One command of each type. */
   readonly commands: readonly unknown[];
-  /** A replica that asks to be let in, so that the log has an entry with a replica set. */
+  /** Request of a replica to join, which adds a log entry with a replica set. */
   readonly joinRequest: unknown;
   readonly filesBeforeSnapshot: ShownFiles;
   readonly filesAfterSnapshot: ShownFiles;
-  /** Of a version without declared sets. */
+  /** Snapshot written by a version without declared sets. */
   readonly oldState: { readonly hex: string; readonly text: string };
 }
 
 const PINNED = JSON.parse(readFileSync('test/fixtures/stored-bytes.json', 'utf8')) as Pinned;
 const ELECTION_MS = 1_000;
 
-function startOn(files: MemoryFiles, clock: VirtualClock, snapshotInterval = 1_000): StoredReplica {
+function startReplica(
+  files: MemoryFiles,
+  clock: VirtualClock,
+  snapshotInterval = 1_000,
+): StoredReplica {
   const replica = new StoredReplica({ clock, files, snapshotInterval });
   replica.host.start();
   clock.advance(ELECTION_MS);
@@ -37,20 +42,20 @@
   return replica;
 }
 
-/** A folder with every kind of record, of two terms. */
-async function writtenFolder(clock: VirtualClock): Promise<MemoryFiles> {
+/** Creates a data folder with every type of record, written in two terms. */
+async function writeDataFolder(clock: VirtualClock): Promise<MemoryFiles> {
   const files = new MemoryFiles();
-  const first = startOn(files, clock);
+  const first = startReplica(files, clock);
   for (const command of PINNED.commands) {
     await first.log.propose(command as Parameters<typeof first.log.propose>[0]);
   }
   first.host.receive('', PINNED.joinRequest as Parameters<typeof first.host.receive>[1]);
   first.host.stop();
-  startOn(files, clock).host.stop();
+  startReplica(files, clock).host.stop();
   return files;
 }
 
-function shown(files: MemoryFiles): ShownFiles {
+function decodeFiles(files: MemoryFiles): ShownFiles {
   return Object.fromEntries([...files.files].map(([name, bytes]) => [name, showRecords(bytes)]));
 }
 
@@ -73,15 +78,15 @@
 
 describe('the bytes of a data folder', () => {
   it('are those of each kind of record and command', async () => {
-    const files = await writtenFolder(new VirtualClock());
-    expect(shown(files)).to.deep.equal(PINNED.filesBeforeSnapshot);
+    const files = await writeDataFolder(new VirtualClock());
+    expect(decodeFiles(files)).to.deep.equal(PINNED.filesBeforeSnapshot);
   });
 
   it('are those of a snapshot and the log after it', async () => {
     const clock = new VirtualClock();
-    const files = await writtenFolder(clock);
-    startOn(files, clock, 1).host.stop();
-    expect(shown(files)).to.deep.equal(PINNED.filesAfterSnapshot);
+    const files = await writeDataFolder(clock);
+    startReplica(files, clock, 1).host.stop();
+    expect(decodeFiles(files)).to.deep.equal(PINNED.filesAfterSnapshot);
   });
 });
 
