--- a/src/membership/instance-pool.ts
+++ b/src/membership/instance-pool.ts
@@ -20,7 +20,7 @@
 /** Most connections to a target until the service's declaration is known. */
 const DEFAULT_CONNECTIONS = 100;
 /** Least time from one exchange of connections to the next, in milliseconds: a target may just be slow. */
-const MIN_EXCHANGE_GAP_MS = 2_000;
+const MIN_REPLACE_INTERVAL_MS = 2_000;
 
 /** Where the next call goes. */
 export interface TargetConnection {
@@ -43,7 +43,7 @@
   private readonly resets = new ResetWatch(CONNECT_TIMEOUT_MS);
   private answerTimes = new AnswerTimes();
   /** When idle connections were last given up, on the clock, in milliseconds. */
-  private exchangedAt = -Infinity;
+  private lastReplacedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
@@ -87,8 +87,8 @@
     const now = this.clock.now();
     if (incarnationName(report) !== this.incarnation) return;
     if (!this.answerTimes.isSuspicious(waitedMs)) return;
-    if (now - this.exchangedAt < MIN_EXCHANGE_GAP_MS) return;
-    this.exchangedAt = now;
+    if (now - this.lastReplacedAt < MIN_REPLACE_INTERVAL_MS) return;
+    this.lastReplacedAt = now;
     this.open(report);
   }
 
--- a/src/membership/registration-api.ts
+++ b/src/membership/registration-api.ts
@@ -87,19 +87,19 @@
     instance: string,
   ): Promise<void> {
     // Most targets say no more than their id.
-    const said = leaveSchema.safeParse(hasBody(message) ? await this.valueOf(message) : {});
-    if (!said.success) {
+    const parsed = leaveSchema.safeParse(hasBody(message) ? await this.readBody(message) : {});
+    if (!parsed.success) {
       writeProblem(response, apiProblem('invalid', 'The leave is not valid.'));
       return;
     }
-    const leaving = { instance, born: said.data.born };
+    const leaving = { instance, born: parsed.data.born };
     this.lease.onLeave(leaving);
     this.logger.info('The target says that it is gone.', leaving);
     writeJson(response, 200, {});
   }
 
   /** The parsed body; undefined where it can't be read. */
-  private async valueOf(message: IncomingMessage): Promise<unknown> {
+  private async readBody(message: IncomingMessage): Promise<unknown> {
     const body = await readJsonBody(message, MAX_BODY_BYTES);
     return body.type === 'value' ? body.value : undefined;
   }
--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -78,7 +78,7 @@
   /** Fell silent while another one reported. Reports of theirs may be late, or they may be back. */
   private readonly replaced = new Set<string>();
   /** Refused connections, with the sequence of their last report: late reports do not bring them back. */
-  private readonly down = new Map<string, number>();
+  private readonly refusedSequences = new Map<string, number>();
 
   /**
    * @param leaseMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
@@ -117,7 +117,7 @@
   onReport(report: TargetReport): void {
     const name = incarnationName(report);
     if (this.ended.has(name)) return;
-    if (report.sequence <= (this.down.get(name) ?? -1)) return;
+    if (report.sequence <= (this.refusedSequences.get(name) ?? -1)) return;
     const { held } = this;
     if (held === undefined || isSameIncarnation(held.report, report)) this.renew(report);
     else if (this.replaced.has(name) && this.current !== undefined) return;
@@ -126,7 +126,7 @@
 
   /** Another incarnation answered where the one with this name was expected: by now a newer one may be in use. */
   onMisdirected(name: string): void {
-    this.end(name);
+    this.markEnded(name);
     if (this.heldName !== name) return;
     this.held = undefined;
     this.onChange();
@@ -139,9 +139,10 @@
   onDown(name: string): void {
     const { held } = this;
     if (held === undefined || this.heldName !== name) return;
-    this.down.set(name, held.report.sequence);
-    const [oldest] = this.down.keys();
-    if (this.down.size > MAX_REMEMBERED && oldest !== undefined) this.down.delete(oldest);
+    this.refusedSequences.set(name, held.report.sequence);
+    const [oldest] = this.refusedSequences.keys();
+    if (this.refusedSequences.size > MAX_REMEMBERED && oldest !== undefined)
+      this.refusedSequences.delete(oldest);
     this.held = undefined;
     this.candidate = undefined;
     this.onChange();
@@ -152,7 +153,7 @@
     const { held } = this;
     const isHeld = leaving.born === undefined && leaving.instance === held?.report.instance;
     const name = incarnationName(isHeld ? held.report : leaving);
-    this.end(name);
+    this.markEnded(name);
     if (held === undefined || this.heldName !== name) return;
     this.held = { ...held, report: { ...held.report, state: 'leaving' } };
     this.onChange();
@@ -188,19 +189,19 @@
   }
 
   private takeOver(held: HeldLease, report: TargetReport): void {
-    remember(this.replaced, incarnationName(held.report));
+    addBounded(this.replaced, incarnationName(held.report));
     this.replaced.delete(incarnationName(report));
     this.held = undefined;
     this.renew(report);
   }
 
-  private end(name: string): void {
-    remember(this.ended, name);
+  private markEnded(name: string): void {
+    addBounded(this.ended, name);
     this.replaced.delete(name);
   }
 }
 
-function remember(names: Set<string>, name: string): void {
+function addBounded(names: Set<string>, name: string): void {
   names.add(name);
   if (names.size <= MAX_REMEMBERED) return;
   const [oldest] = names;
--- a/src/quota/asking-schedule.ts
+++ b/src/quota/asking-schedule.ts
@@ -10,8 +10,8 @@
  * Control is asked for more of a group at most this often, in milliseconds; the time doubles while the answers bring no
  * permit, up to about that between heartbeats.
  */
-const MIN_ASK_INTERVAL_MS = 50;
-const MAX_ASK_INTERVAL_MS = 800;
+const MIN_REQUEST_INTERVAL_MS = 50;
+const MAX_REQUEST_INTERVAL_MS = 800;
 /**
  * Asked less often than this for a group, in milliseconds, control has no more to grant: its requests are refused at once.
  * Passed with the fourth time in a row that brings no permit, 0.7 s after the first at the earliest.
@@ -21,10 +21,10 @@
 const MIN_GAP_MS = 20;
 
 /** How often control is asked for one group. */
-export class GroupAsking {
-  private askedAt = -Infinity;
+export class GrantRequestBackoff {
+  private lastRequestAt = -Infinity;
   /** Time for which control is not asked again, in milliseconds. */
-  private intervalMs = MIN_ASK_INTERVAL_MS;
+  private intervalMs = MIN_REQUEST_INTERVAL_MS;
 
   /** Whether the answers of control have brought no permit for so long that waiting for one is in vain. */
   get isExhausted(): boolean {
@@ -32,41 +32,41 @@
   }
 
   onPermit(): void {
-    this.intervalMs = MIN_ASK_INTERVAL_MS;
+    this.intervalMs = MIN_REQUEST_INTERVAL_MS;
   }
 
   /** Milliseconds until control may be asked again. */
   msToNext(now: number): number {
-    return Math.max(0, this.askedAt + this.intervalMs - now);
+    return Math.max(0, this.lastRequestAt + this.intervalMs - now);
   }
 
   /** Whether control is to be asked now; if so it is not asked again for twice as long as before. */
-  tryAsk(now: number): boolean {
-    if (now - this.askedAt < this.intervalMs) return false;
-    this.askedAt = now;
-    this.intervalMs = Math.min(MAX_ASK_INTERVAL_MS, 2 * this.intervalMs);
+  tryRequest(now: number): boolean {
+    if (now - this.lastRequestAt < this.intervalMs) return false;
+    this.lastRequestAt = now;
+    this.intervalMs = Math.min(MAX_REQUEST_INTERVAL_MS, 2 * this.intervalMs);
     return true;
   }
 }
 
 /** Asks control for all groups at once: those that run short within a moment share one report. */
-export class SharedAsking {
-  private askedAt = -Infinity;
+export class GrantRequestBatcher {
+  private lastReportAt = -Infinity;
   private isDue = false;
 
-  /** @param ask sends a report */
+  /** @param sendReport sends a report */
   constructor(
     private readonly clock: Clock,
-    private readonly ask: () => void,
+    private readonly sendReport: () => void,
   ) {}
 
   /** Asks now, or as soon as the last time is long enough ago. */
   request(now: number): void {
     if (this.isDue) return;
-    const waitMs = this.askedAt + MIN_GAP_MS - now;
+    const waitMs = this.lastReportAt + MIN_GAP_MS - now;
     if (waitMs <= 0) {
-      this.askedAt = now;
-      this.ask();
+      this.lastReportAt = now;
+      this.sendReport();
       return;
     }
     this.isDue = true;
--- a/src/quota/commitments.ts
+++ b/src/quota/commitments.ts
@@ -12,7 +12,7 @@
   /** Largest grant that the ingress has not confirmed. */
   granted: number;
   /** Number of the report that this grant answers. */
-  grantedIn: number;
+  grantSequence: number;
 }
 
 /** Sums over all ingresses, for one group, in requests in a window. */
@@ -32,9 +32,9 @@
 export function unconfirmed(
   commitment: Commitment | undefined,
   adopted: number,
-): Pick<Commitment, 'granted' | 'grantedIn'> {
-  const { granted = 0, grantedIn = 0 } = commitment ?? {};
-  return grantedIn <= adopted ? { granted: 0, grantedIn: 0 } : { granted, grantedIn };
+): Pick<Commitment, 'granted' | 'grantSequence'> {
+  const { granted = 0, grantSequence = 0 } = commitment ?? {};
+  return grantSequence <= adopted ? { granted: 0, grantSequence: 0 } : { granted, grantSequence };
 }
 
 export class CommitmentTotals {
--- a/src/quota/grant-rule.ts
+++ b/src/quota/grant-rule.ts
@@ -20,12 +20,12 @@
  * gets what is left, which wastes less of it: docs/design/shifted-work.md has the whole rule beside
  * three others.
  */
-const OVERLOADED_FROM = 1.1;
+const OVERLOAD_RATIO = 1.1;
 /**
  * Part of a limit that is divided where more is offered; the rest is for ingresses that begin to be offered requests. Not
  * measured by itself.
  */
-const OVERLOADED_PART = 0.95;
+const OVERLOAD_GRANTED_FRACTION = 0.95;
 
 /** What decides a grant. */
 export interface GrantInputs {
@@ -48,8 +48,8 @@
 export function allowanceOf(inputs: GrantInputs): number {
   const { commitment, totals, limit } = inputs;
   const free = Math.max(0, limit - (totals.committed - committedOf(commitment)));
-  const most = Math.min(free, mostWhileUnsure(inputs));
-  return Math.floor(Math.min(most, wishOf(commitment.use, totals.offered, limit)));
+  const most = Math.min(free, maxWhileGrantsUnknown(inputs));
+  return Math.floor(Math.min(most, desiredAllowance(commitment.use, totals.offered, limit)));
 }
 
 /**
@@ -58,7 +58,7 @@
  * held that have begun empty as well is void, and is given out again once what they ran has left every window: after a
  * loss of all power nothing ran for 8 s otherwise. Given out sooner, 1.35 times the bound ran under a surge.
  */
-function mostWhileUnsure(inputs: GrantInputs): number {
+function maxWhileGrantsUnknown(inputs: GrantInputs): number {
   const { commitment, totals, limit, windowMs, knownForMs, isFresh, freshPart } = inputs;
   if (knownForMs >= QUOTA_LEASE_MS + windowMs) return Infinity;
   if (!isFresh || knownForMs < windowMs) return commitment.use.held;
@@ -71,10 +71,14 @@
  * shrinks as the limit comes near, so that more remains for whoever runs short. Beyond the limit: a part of it as large as
  * its part of what is offered.
  */
-function wishOf({ offered, used }: GroupUse, offeredToAll: number, limit: number): number {
+function desiredAllowance(
+  { offered, used }: GroupUse,
+  offeredToAll: number,
+  limit: number,
+): number {
   if (offered === 0 && used === 0) return 0;
   const part = offered / Math.max(1, offeredToAll);
-  if (offeredToAll > OVERLOADED_FROM * limit) return limit * OVERLOADED_PART * part;
+  if (offeredToAll > OVERLOAD_RATIO * limit) return limit * OVERLOAD_GRANTED_FRACTION * part;
   const left = Math.max(0, limit - offeredToAll);
   const spare = (left / limit) * left * part;
   return offered + Math.max(MIN_SPARE, Math.min(spare, offered + START_SPARE));
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -8,7 +8,7 @@
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { Group } from '../policy/group-table.js';
-import { GroupAsking, SharedAsking } from './asking-schedule.js';
+import { GrantRequestBackoff, GrantRequestBatcher } from './asking-schedule.js';
 import { GroupQuota, NOTHING_GRANTED, type QuotaPermit, type QuotaState } from './group-quota.js';
 import {
   QUOTA_LEASE_MS,
@@ -44,7 +44,7 @@
 /** One group at this ingress. */
 interface GroupEntry {
   readonly quota: GroupQuota;
-  readonly asking: GroupAsking;
+  readonly requestBackoff: GrantRequestBackoff;
   /** In the order in which they came. */
   waiters: Waiter[];
 }
@@ -57,7 +57,7 @@
 
 export class IngressQuota {
   private readonly groups = new Map<string, GroupEntry>();
-  private readonly sharedAsking: SharedAsking;
+  private readonly requestBatcher: GrantRequestBatcher;
   /** Newest report whose answer was adopted, and the newest that was sent. */
   private adopted = 0;
   private sequence = 0;
@@ -68,7 +68,7 @@
     const { clock, onShort } = options;
     this.now = () => clock.now();
     this.createdAt = clock.now();
-    this.sharedAsking = new SharedAsking(clock, onShort);
+    this.requestBatcher = new GrantRequestBatcher(clock, onShort);
   }
 
   /**
@@ -88,8 +88,8 @@
       listener(permit);
       return;
     }
-    this.askForMore(entry, now);
-    if (entry.asking.isExhausted) listener(undefined);
+    this.requestGrant(entry, now);
+    if (entry.requestBackoff.isExhausted) listener(undefined);
     else this.wait(entry, maxWaitMs, listener);
   }
 
@@ -108,15 +108,15 @@
     return { startedAt: this.options.startedAt, uptimeMs, sequence, adopted, uses };
   }
 
-  /** A leader has granted. @param askedAt monotonic milliseconds at which the heartbeat was sent */
-  onGrants({ sequence, grants }: QuotaGrants, askedAt: number): void {
+  /** A leader has granted. @param reportedAt monotonic milliseconds at which the heartbeat was sent */
+  onGrants({ sequence, grants }: QuotaGrants, reportedAt: number): void {
     if (sequence <= this.adopted) return;
     this.adopted = sequence;
     for (const { group, allowance } of grants) {
       const entry = this.entry(group);
-      entry.quota.onGrant(allowance, askedAt + QUOTA_LEASE_MS);
-      this.letIn(entry);
-      if (entry.waiters.length > 0) this.askAgain(entry);
+      entry.quota.onGrant(allowance, reportedAt + QUOTA_LEASE_MS);
+      this.admitWaiters(entry);
+      if (entry.waiters.length > 0) this.scheduleGrantRequest(entry);
     }
   }
 
@@ -125,9 +125,9 @@
     return this.groups.get(group)?.quota.state(this.now()) ?? NOTHING_GRANTED;
   }
 
-  private tryAcquire({ quota, asking }: GroupEntry): QuotaPermit | undefined {
+  private tryAcquire({ quota, requestBackoff }: GroupEntry): QuotaPermit | undefined {
     const permit = quota.tryAcquire(this.now);
-    if (permit !== undefined) asking.onPermit();
+    if (permit !== undefined) requestBackoff.onPermit();
     return permit;
   }
 
@@ -140,7 +140,7 @@
     entry.waiters.push(waiter);
   }
 
-  private letIn(entry: GroupEntry): void {
+  private admitWaiters(entry: GroupEntry): void {
     while (entry.waiters.length > 0) {
       const permit = this.tryAcquire(entry);
       if (permit === undefined) return;
@@ -151,21 +151,21 @@
   }
 
   /** A surge was larger when it was granted than when control was asked: the rest of it need not wait in vain. */
-  private askAgain(entry: GroupEntry): void {
-    this.options.clock.schedule(entry.asking.msToNext(this.now()), () => {
-      if (entry.waiters.length > 0) this.askForMore(entry, this.now());
+  private scheduleGrantRequest(entry: GroupEntry): void {
+    this.options.clock.schedule(entry.requestBackoff.msToNext(this.now()), () => {
+      if (entry.waiters.length > 0) this.requestGrant(entry, this.now());
     });
   }
 
-  private askForMore({ asking }: GroupEntry, now: number): void {
-    if (asking.tryAsk(now)) this.sharedAsking.request(now);
+  private requestGrant({ requestBackoff }: GroupEntry, now: number): void {
+    if (requestBackoff.tryRequest(now)) this.requestBatcher.request(now);
   }
 
   private entry(group: string): GroupEntry {
     const existing = this.groups.get(group);
     if (existing !== undefined) return existing;
     const quota = new GroupQuota(this.options.windowMs);
-    const created: GroupEntry = { quota, asking: new GroupAsking(), waiters: [] };
+    const created: GroupEntry = { quota, requestBackoff: new GrantRequestBackoff(), waiters: [] };
     this.groups.set(group, created);
     return created;
   }
--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -29,7 +29,7 @@
   /** Of the newest report. */
   readonly sequence: number;
   /** Monotonic milliseconds. */
-  readonly heardAt: number;
+  readonly lastReportAt: number;
   /** Whether it began empty after this replica had begun, or just before: what it held earlier is void. */
   readonly isFresh: boolean;
   readonly commitments: Map<string, Commitment>;
@@ -45,7 +45,7 @@
 }
 
 /** Processes that begin after one loss of power are up within this of one another, in milliseconds. */
-const SAME_START_MS = 2_000;
+const MAX_START_SKEW_MS = 2_000;
 
 export class QuotaLedger {
   private readonly ingresses = new Map<string, IngressEntry>();
@@ -71,9 +71,9 @@
     if (isRestarted) this.retire(id, known, now);
     const before = isRestarted ? undefined : known;
     const { startedAt, sequence } = report;
-    const isFresh = before?.isFresh ?? this.beganEmpty(report, now);
+    const isFresh = before?.isFresh ?? this.hasStartedEmpty(report, now);
     const commitments = new Map<string, Commitment>();
-    const entry: IngressEntry = { startedAt, sequence, heardAt: now, isFresh, commitments };
+    const entry: IngressEntry = { startedAt, sequence, lastReportAt: now, isFresh, commitments };
     this.ingresses.set(id, entry);
     this.adopt(entry, report, before?.commitments ?? NO_COMMITMENTS);
     return { sequence, grants: this.grant(entry, now) };
@@ -86,7 +86,7 @@
     before: ReadonlyMap<string, Commitment>,
   ): void {
     for (const use of uses) {
-      this.put(entry, { use, ...unconfirmed(before.get(use.group), adopted) });
+      this.addCommitment(entry, { use, ...unconfirmed(before.get(use.group), adopted) });
     }
     for (const [group, commitment] of before) {
       this.totals.remove(commitment, entry.isFresh);
@@ -96,13 +96,17 @@
 
   /** A grant that is under way to an ingress which reported without the group. */
   private keepUnconfirmed(entry: IngressEntry, commitment: Commitment, adopted: number): void {
-    const { granted, grantedIn } = unconfirmed(commitment, adopted);
+    const { granted, grantSequence } = unconfirmed(commitment, adopted);
     if (granted === 0) return;
     const { group } = commitment.use;
-    this.put(entry, { use: { group, used: 0, offered: 0, held: 0 }, granted, grantedIn });
+    this.addCommitment(entry, {
+      use: { group, used: 0, offered: 0, held: 0 },
+      granted,
+      grantSequence,
+    });
   }
 
-  private put(entry: IngressEntry, commitment: Commitment): void {
+  private addCommitment(entry: IngressEntry, commitment: Commitment): void {
     entry.commitments.set(commitment.use.group, commitment);
     this.totals.add(commitment, entry.isFresh);
   }
@@ -130,7 +134,7 @@
   private onGranted(entry: IngressEntry, commitment: Commitment, allowance: number): void {
     const before = committedOf(commitment);
     commitment.granted = Math.max(commitment.granted, allowance);
-    commitment.grantedIn = entry.sequence;
+    commitment.grantSequence = entry.sequence;
     this.totals.commit(commitment.use.group, committedOf(commitment) - before, entry.isFresh);
   }
 
@@ -141,8 +145,8 @@
     return fresh / this.ingresses.size;
   }
 
-  private beganEmpty({ uptimeMs, uses }: QuotaReport, now: number): boolean {
-    const isYounger = uptimeMs <= now - this.startedAt + SAME_START_MS;
+  private hasStartedEmpty({ uptimeMs, uses }: QuotaReport, now: number): boolean {
+    const isYounger = uptimeMs <= now - this.startedAt + MAX_START_SKEW_MS;
     return isYounger && uses.every(({ held }) => held === 0);
   }
 
@@ -171,7 +175,7 @@
     }
     this.pastUses = this.pastUses.filter(({ until }) => until > now);
     for (const [id, entry] of this.ingresses) {
-      if (now - entry.heardAt >= QUOTA_LEASE_MS + windowMs) this.remove(id, entry);
+      if (now - entry.lastReportAt >= QUOTA_LEASE_MS + windowMs) this.remove(id, entry);
     }
   }
 }
--- a/src/quota/quota-rule.ts
+++ b/src/quota/quota-rule.ts
@@ -23,7 +23,7 @@
  * requests that wait at gates after they were counted, and grants of a leader that was lost. With 0.7 the worst window of
  * docs/design/shifted-work.md had 0.97 of the bound, 1 at most in 60 seeds.
  */
-const HANDED_OUT_PART = 0.7;
+const ALLOCATED_FRACTION = 0.7;
 
 /** Most requests that may run in any window. */
 export function boundInWindow({ perSecond, burst }: GroupRate, rule: QuotaRule): number {
@@ -36,7 +36,7 @@
   const { windowMs, tolerance, slack } = rule;
   return boundInWindow(rate, {
     windowMs,
-    tolerance: tolerance * HANDED_OUT_PART,
-    slack: slack * HANDED_OUT_PART,
+    tolerance: tolerance * ALLOCATED_FRACTION,
+    slack: slack * ALLOCATED_FRACTION,
   });
 }
--- a/test/quota/quota.test.ts
+++ b/test/quota/quota.test.ts
@@ -44,7 +44,7 @@
   return refused / groups.reduce((sum, { offered }) => sum + offered, 0);
 }
 
-function several(count: number, run: Omit<QuotaRun, 'seed'>): QuotaResult[] {
+function runSeeds(count: number, run: Omit<QuotaRun, 'seed'>): QuotaResult[] {
   return Array.from({ length: count }, (_, index) => simulate({ ...run, seed: index + 1 }));
 }
 
@@ -59,7 +59,7 @@
   });
 
   it('is broken where ingresses divide the limit by what each was offered at the last heartbeat', () => {
-    const parts = several(3, { ...HARSH, way: 'proportional' }).map(worstPart);
+    const parts = runSeeds(3, { ...HARSH, way: 'proportional' }).map(worstPart);
     expect(Math.max(...parts)).to.be.greaterThan(1.5);
   });
 
@@ -69,7 +69,11 @@
    * seventh and eighth second after the processes were back.
    */
   it('lets requests run again soon after a loss of all power, within the bound', () => {
-    const results = several(CALM_SEEDS, { ...STEADY, durationMs: 16_000, powerLossAtMs: 6_000 });
+    const results = runSeeds(CALM_SEEDS, {
+      ...STEADY,
+      durationMs: 16_000,
+      powerLossAtMs: 6_000,
+    });
     // Without power 1.2 s of 16 s, and for a window more.
     expect(wronglyRefusedPart(results)).to.be.below(0.42);
     expect(Math.max(...results.map(worstPart))).to.be.at.most(1);
@@ -77,20 +81,20 @@
 
   it('holds through losses of all power under surges', () => {
     const run = { ...HARSH, powerLossAtMs: 6_000 };
-    expect(Math.max(...several(CALM_SEEDS * 2, run).map(worstPart))).to.be.at.most(1);
+    expect(Math.max(...runSeeds(CALM_SEEDS * 2, run).map(worstPart))).to.be.at.most(1);
   });
 
   it('refuses fewer than 1 in 200 below the limit while demand is uneven and steady', () => {
-    expect(wronglyRefusedPart(several(CALM_SEEDS, STEADY))).to.be.below(1 / 200);
+    expect(wronglyRefusedPart(runSeeds(CALM_SEEDS, STEADY))).to.be.below(1 / 200);
   });
 
   it('refuses fewer than 1 in 50 below the limit while demand is up to all that the rates allow', () => {
     const run = { ...STEADY, surges: [1, 1.7] };
-    expect(wronglyRefusedPart(several(CALM_SEEDS, run))).to.be.below(1 / 50);
+    expect(wronglyRefusedPart(runSeeds(CALM_SEEDS, run))).to.be.below(1 / 50);
   });
 
   it('would refuse most of what is below the limit if each ingress had an equal part', () => {
-    expect(wronglyRefusedPart(several(2, { ...STEADY, way: 'equal-parts' }))).to.be.above(0.3);
+    expect(wronglyRefusedPart(runSeeds(2, { ...STEADY, way: 'equal-parts' }))).to.be.above(0.3);
   });
 });
 
