--- a/src/membership/incarnation.ts
+++ b/src/membership/incarnation.ts
@@ -1,30 +1,28 @@
 /**
- * One start of a target. A target may start again under the id that it had; it then knows nothing of before.
- *
- * For: the lease of a target, its connections, and the gate, which tell starts apart. Owns: how two starts are compared.
- * Relies on: what targets say of themselves. Pure.
+ * An incarnation is one run of a target process. A target may restart under the same instance id, without any state of the
+ * previous run; the start time then distinguishes the incarnations.
  */
 
-/** What tells the starts of targets apart. */
+/** Identifies one run of a target process. */
 export interface Incarnation {
-  /** Id that the target gives itself. */
+  /** Instance id that the target reports. */
   readonly instance: string;
-  /** Milliseconds since 1970 of its start; absent from targets that don't tell it. */
+  /** Start time in milliseconds since 1970; absent if the target does not report it. */
   readonly born?: number | undefined;
 }
 
-/** The text that names an incarnation where an id alone could mean two of them. */
+/** Returns a string that is unique to an incarnation if its start time is known. */
 export function incarnationName({ instance, born }: Incarnation): string {
   return born === undefined ? instance : `${instance}@${born}`;
 }
 
-/** Whether both may be the same start: a health check tells the id alone. */
+/** Whether both may be the same incarnation; an unknown start time matches any, as a health check reports only the id. */
 export function isSameIncarnation(first: Incarnation, second: Incarnation): boolean {
   if (first.instance !== second.instance) return false;
   return first.born === undefined || second.born === undefined || first.born === second.born;
 }
 
-/** Whether `first` is known to have started later than `second`. */
+/** Whether `first` reports a later start time than `second`; an unknown start time of `second` counts as earlier. */
 export function startedLater(first: Incarnation, second: Incarnation): boolean {
   if (first.born === undefined) return false;
   return second.born === undefined || first.born > second.born;
--- a/src/membership/instance-pool.ts
+++ b/src/membership/instance-pool.ts
@@ -1,8 +1,6 @@
 /**
- * A sidecar's connections to the present incarnation of its target; a new one gets new ones.
- *
- * For: the gate. Owns: the pool in use, and how long this incarnation usually takes to begin an answer. Relies on:
- * `target-lease.ts` for which incarnation that is, and on the gate to tell of requests that it gave up.
+ * The connection pool of a sidecar to the current incarnation of its target. The pool is replaced when the incarnation
+ * changes, and when its idle connections appear to be dead.
  */
 import type { Dispatcher, Pool } from 'undici';
 import type { Clock } from '../common/clock.js';
@@ -13,41 +11,42 @@
 import { ResetWatch } from '../http/reset-watch.js';
 
 /**
- * Idle connections are closed after this long, in milliseconds: before targets that say nothing of their own limit close
- * them. Below the 5 s that HTTP servers of Node.js keep them by default.
+ * Time after which idle connections are closed, in milliseconds. Below the default keep-alive timeout of Node.js HTTP
+ * servers (5 s), so that no request is sent on a connection that the target is closing.
  */
 const IDLE_MS = 4_000;
-/** Most connections to a target until the service's declaration is known. */
+/** Maximum number of connections to a target until the service's declaration is known. */
 const DEFAULT_CONNECTIONS = 100;
-/** Least time from one exchange of connections to the next, in milliseconds: a target may just be slow. */
+/** Minimum time between two replacements of suspect connections, in milliseconds, as the target may merely be slow. */
 const MIN_REPLACE_INTERVAL_MS = 2_000;
 
-/** Where the next call goes. */
+/** The connection to use for the next call. */
 export interface TargetConnection {
   readonly dispatcher: Dispatcher;
   readonly instance: string;
-  /** Name of the incarnation. */
+  /** Name of the incarnation; see {@link incarnationName}. */
   readonly incarnation: string;
-  /** Whether an answer that ends now was cut off by a reset. */
+  /** Whether a response that ends now was truncated by a connection reset. */
   readonly isResetting: () => boolean;
   readonly answerTimes: AnswerTimes;
-  /** A request was given up that had waited this long for its answer, in milliseconds. */
+  /** Reports that a request was aborted after waiting this many milliseconds for its response. */
   readonly onUnanswered: (waitedMs: number) => void;
 }
 
+/** Provides the connections to the current incarnation of a target. */
 export class InstancePool {
   private pool: Pool | undefined;
-  /** Name of the incarnation that the connections lead to. */
+  /** Name of the incarnation that the pool is connected to. */
   private incarnation = '';
   private connections = DEFAULT_CONNECTIONS;
   private readonly resets = new ResetWatch(CONNECT_TIMEOUT_MS);
   private answerTimes = new AnswerTimes();
-  /** When idle connections were last given up, on the clock, in milliseconds. */
+  /** When suspect connections were last replaced, in milliseconds on the clock. */
   private lastReplacedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Connections to the target with this report; undefined when there is none. */
+  /** Returns the connection to the target of this report; undefined if there is no report. */
   target(report: TargetReport | undefined): TargetConnection | undefined {
     if (report === undefined) return undefined;
     if (this.pool === undefined || this.incarnation !== incarnationName(report)) {
@@ -66,22 +65,22 @@
     };
   }
 
-  /** Adopts a changed number of connections, for the next incarnation and for calls from now on. */
+  /** Sets the maximum number of connections; a change takes effect for new calls. */
   configure(connections: number): void {
     if (connections === this.connections) return;
     this.connections = connections;
     this.replace(undefined);
   }
 
-  /** Ends every connection at once. */
+  /** Closes all connections immediately, aborting requests in flight. */
   async destroy(): Promise<void> {
     await this.pool?.destroy();
     this.pool = undefined;
   }
 
   /**
-   * Open connections may fall silent for good while new ones work, all at the same time; each that is idle then would
-   * lose the next request that is sent on it. So the idle ones are given up with the first such loss.
+   * All established connections may stop responding at the same time while new ones work. Replacing the pool after the first
+   * unanswered request prevents the loss of further requests on idle connections.
    */
   private onUnanswered(report: TargetReport, waitedMs: number): void {
     const now = this.clock.now();
@@ -101,7 +100,7 @@
     this.replace(createPool(`http://${report.address}`, options));
   }
 
-  /** Calls under way finish on their connections. */
+  /** Replaces the pool; calls in flight finish on the connections of the previous one. */
   private replace(pool: Pool | undefined): void {
     void this.pool?.close();
     this.pool = pool;
--- a/src/membership/port-probe.ts
+++ b/src/membership/port-probe.ts
@@ -1,18 +1,13 @@
-/**
- * Asks whether a process listens at an address, by opening a connection and closing it.
- *
- * For: the watch for crashes, which asks what became of an incarnation. Owns: nothing beyond one connection.
- * Relies on: the system to refuse connections to a port that no process has.
- */
+/** Checks whether a process listens at an address, by opening and closing a TCP connection. Used to detect crashes. */
 import { connect } from 'node:net';
 
-/** Longest wait for an answer, in milliseconds: the target is on the same machine. */
+/** Connect timeout, in milliseconds; short because the target is on the same machine. */
 const TIMEOUT_MS = 300;
 
 /**
- * Whether the port refuses connections, so that no process has it.
+ * Whether the port refuses connections, that is, no process listens on it.
  * @param address `ADDRESS:PORT`
- * @returns false as well when nothing answers: that may be a machine that is busy
+ * @returns false also on a timeout, since the machine may merely be busy
  */
 export function refusesConnections(address: string): Promise<boolean> {
   const [host, port] = address.split(':');
--- a/src/membership/registration-api.ts
+++ b/src/membership/registration-api.ts
@@ -1,9 +1,6 @@
 /**
- * Where a target reports itself to the sidecar of its machine: `PUT /v1/instances/{id}` with its state, now and then, and
- * `DELETE /v1/instances/{id}` when it is gone.
- *
- * For: targets. Owns: the schema of a report. Relies on: `target-lease.ts` to judge reports that are late or of another
- * incarnation.
+ * The HTTP API by which a target registers with the sidecar on its machine: `PUT /v1/instances/{id}` reports its state
+ * periodically, `DELETE /v1/instances/{id}` deregisters it. {@link TargetLease} handles late reports.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { z } from 'zod';
@@ -15,10 +12,10 @@
 import type { TargetLease } from './target-lease.js';
 
 const INSTANCE_PATH = /^\/v1\/instances\/([^/?]+)$/;
-/** Largest report that is taken, in bytes. */
+/** Maximum size of a report, in bytes. */
 const MAX_BODY_BYTES = 16 * 1024;
 
-/** Milliseconds since 1970 at which the target started. */
+/** Start time of the target, in milliseconds since 1970. */
 const bornSchema = z.number().int().min(0);
 const reportSchema = z.looseObject({
   service: z.string().min(1).max(200),
@@ -31,18 +28,18 @@
   zone: z.string().optional(),
   version: z.string().optional(),
 });
-/** What a target may say when it leaves. */
+/** The optional body of a `DELETE` request. */
 const leaveSchema = z.looseObject({ born: bornSchema.optional() });
 
+/** Request handler of the registration API. */
 export class RegistrationApi {
   constructor(
     private readonly lease: TargetLease,
     private readonly logger: Logger,
-    /** Whether targets of this service may be used; a report that names another one comes from another writer. */
+    /** Whether a service of this name is declared; reports for other services are rejected. */
     private readonly isKnownService: (service: string) => boolean = () => true,
   ) {}
 
-  /** Handles one request of the target. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     const instance = INSTANCE_PATH.exec(message.url ?? '')?.[1];
     if (instance === undefined) {
@@ -86,7 +83,7 @@
     response: ServerResponse,
     instance: string,
   ): Promise<void> {
-    // Most targets say no more than their id.
+    // The body is optional.
     const parsed = leaveSchema.safeParse(hasBody(message) ? await this.readBody(message) : {});
     if (!parsed.success) {
       writeProblem(response, apiProblem('invalid', 'The leave is not valid.'));
@@ -98,7 +95,7 @@
     writeJson(response, 200, {});
   }
 
-  /** The parsed body; undefined where it can't be read. */
+  /** Returns the parsed body; undefined if it is invalid. */
   private async readBody(message: IncomingMessage): Promise<unknown> {
     const body = await readJsonBody(message, MAX_BODY_BYTES);
     return body.type === 'value' ? body.value : undefined;
--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -1,26 +1,24 @@
 /**
- * What a sidecar knows of its target, from the reports that the target sends. Reports may come late and out of order, also
- * those of an earlier incarnation. Pure.
+ * Tracks the target of a sidecar from the reports that the target sends. Reports may arrive late and out of order, including
+ * those of an earlier incarnation.
  *
- * A report renews the lease of its incarnation, or takes it over from the one that holds it. The first row that fits
- * decides:
+ * One incarnation holds the lease. The first matching row decides how a report is handled:
  *
- * | report                                                          | what becomes of it                              |
- * | --------------------------------------------------------------- | ----------------------------------------------- |
- * | of an incarnation that has ended: it left, or was not found     | dropped                                         |
- * | of one that refused connections, no newer than its last report  | dropped                                         |
- * | there is no holder                                              | becomes the holder                              |
- * | of the holder, older than its last one                          | dropped                                         |
- * | of the holder                                                   | renews; a holder that leaves stays leaving      |
- * | of one that was replaced, while the holder's lease runs         | dropped                                         |
- * | the holder leaves, or its lease has run out                     | takes over                                      |
- * | says that it started later than the holder                      | takes over                                      |
- * | the second in order, {@link MIN_REPORT_GAP_MS} after the first, | takes over                                      |
- * | with none of the holder between them                            |                                                 |
- * | any other                                                       | waits for a second one                          |
+ * | report                                                            | result                                      |
+ * | ----------------------------------------------------------------- | ------------------------------------------- |
+ * | of an incarnation that has deregistered or was not reached        | dropped                                     |
+ * | of one that refused connections, not newer than its last report   | dropped                                     |
+ * | any, while no incarnation holds the lease                         | acquires the lease                          |
+ * | of the holder, older than its last report                         | dropped                                     |
+ * | of the holder                                                     | renews the lease; a leaving holder stays so |
+ * | of a replaced incarnation, while the lease is valid               | dropped                                     |
+ * | any, while the holder is leaving or the lease has expired         | takes over the lease                        |
+ * | with a later start time than the holder                           | takes over the lease                        |
+ * | the second in order, {@link MIN_REPORT_GAP_MS} after the first,   | takes over the lease                        |
+ * | with no report of the holder in between                           |                                             |
+ * | any other                                                         | recorded as the candidate                   |
  *
- * For: the wiring of a sidecar, its gate and its watch for crashes. Owns: the holder, and the incarnations that are over.
- * Relies on: the clock of its own machine alone; a start time is compared with another of the same machine.
+ * Times are those of the local clock. Start times are only compared with others of the same machine.
  */
 import type { Clock } from '../common/clock.js';
 import {
@@ -30,28 +28,28 @@
   type Incarnation,
 } from './incarnation.js';
 
-/** One report of a target about itself. */
+/** A report of a target about its own state. */
 export interface TargetReport extends Incarnation {
   readonly service: string;
-  /** `ADDRESS:PORT` that it serves. */
+  /** `ADDRESS:PORT` on which the target accepts requests. */
   readonly address: string;
-  /** Requests that it works on at the same time. */
+  /** Maximum number of requests that the target processes concurrently. */
   readonly slots: number;
   readonly state: 'ready' | 'leaving';
-  /** Rises with each report of an incarnation. */
+  /** Increases with each report of an incarnation. */
   readonly sequence: number;
-  /** How much longer it is slow from its start, in milliseconds. */
+  /** Remaining warm-up time after a start, in milliseconds. */
   readonly coldRemainingMs: number;
 }
 
-/** The incarnation that is in use. */
+/** The last report of the incarnation that holds the lease. */
 interface HeldLease {
   readonly report: TargetReport;
-  /** When the report came, on the clock, in milliseconds. */
+  /** When the report was received, in milliseconds on the clock. */
   readonly receivedAt: number;
 }
 
-/** A report of another incarnation that has not taken over yet. */
+/** The first report of another incarnation that may take over the lease. */
 interface Candidate {
   /** Name of the incarnation. */
   readonly name: string;
@@ -59,29 +57,28 @@
   readonly receivedAt: number;
 }
 
-/**
- * Reports that were delayed arrive together; those of a target that runs come at least this far apart, in milliseconds.
- */
+/** Minimum interval between two reports of a running target, in milliseconds; delayed reports arrive closer together. */
 const MIN_REPORT_GAP_MS = 300;
 
 /**
- * Most incarnations that are remembered once they have left, been replaced or refused connections, of each of these, so
- * that late reports are known. Bounds memory.
+ * Maximum number of incarnations recorded as ended, as replaced and as refusing connections, each. Bounds memory; needed to
+ * recognize late reports.
  */
 const MAX_REMEMBERED = 100;
 
+/** The lease of a target; see the top of this file. */
 export class TargetLease {
   private held: HeldLease | undefined;
   private candidate: Candidate | undefined;
-  /** Names of incarnations that have said that they are gone, or were not found at their address. */
+  /** Incarnations that have deregistered, or whose address was served by another one. */
   private readonly ended = new Set<string>();
-  /** Fell silent while another one reported. Reports of theirs may be late, or they may be back. */
+  /** Incarnations that lost the lease to another one, which may report again. */
   private readonly replaced = new Set<string>();
-  /** Refused connections, with the sequence of their last report: late reports do not bring them back. */
+  /** Last sequence numbers of incarnations that refused connections, to ignore late reports. */
   private readonly refusedSequences = new Map<string, number>();
 
   /**
-   * @param leaseMs length of the lease: a target that has not reported for this long is not used (`targetSilentMs`)
+   * @param leaseMs duration of the lease in milliseconds, the setting `targetSilentMs`
    * @param onChange called when the target, its state or its slots may have changed
    */
   constructor(
@@ -90,30 +87,30 @@
     private readonly onChange: () => void,
   ) {}
 
-  /** The incarnation in use, whatever its state; undefined when none has a lease that runs. */
+  /** The last report of the holder, in any state; undefined if there is no valid lease. */
   get current(): TargetReport | undefined {
     const { held } = this;
     if (held === undefined || this.clock.now() - held.receivedAt >= this.leaseMs) return undefined;
     return held.report;
   }
 
-  /** Name of the incarnation that is held; undefined when there is none. */
+  /** Name of the incarnation that holds the lease, even if it has expired. */
   private get heldName(): string | undefined {
     return this.held && incarnationName(this.held.report);
   }
 
-  /** Whether the target takes new work. */
+  /** Whether the target accepts new requests. */
   get isReady(): boolean {
     return this.current?.state === 'ready';
   }
 
-  /** Whether the target has said that it leaves, or has left. */
+  /** Whether the target has reported that it is leaving, or has deregistered. */
   get isLeaving(): boolean {
     const { held } = this;
     return held?.report.state === 'leaving';
   }
 
-  /** Takes a report. */
+  /** Processes a report by the rules in the table above. */
   onReport(report: TargetReport): void {
     const name = incarnationName(report);
     if (this.ended.has(name)) return;
@@ -124,7 +121,7 @@
     else if (this.mayTakeOver(held, report)) this.takeOver(held, report);
   }
 
-  /** Another incarnation answered where the one with this name was expected: by now a newer one may be in use. */
+  /** Handles a call that another incarnation answered; by now, a newer one than `name` may hold the lease. */
   onMisdirected(name: string): void {
     this.markEnded(name);
     if (this.heldName !== name) return;
@@ -132,10 +129,7 @@
     this.onChange();
   }
 
-  /**
-   * The incarnation refuses connections: it is not used until it, or another one, reports. Waiting for its lease to run out
-   * cost 3 s in which calls were sent to it.
-   */
+  /** Revokes the lease of an incarnation that refuses connections, so that no calls are sent to it until the next report. */
   onDown(name: string): void {
     const { held } = this;
     if (held === undefined || this.heldName !== name) return;
@@ -148,7 +142,7 @@
     this.onChange();
   }
 
-  /** A target has said that it is gone: the one in use, where it does not say which start of it. */
+  /** Handles the deregistration of a target. Without a start time it applies to the holder if the instance id matches. */
   onLeave(leaving: Incarnation): void {
     const { held } = this;
     const isHeld = leaving.born === undefined && leaving.instance === held?.report.instance;
@@ -162,7 +156,7 @@
   private renew(report: TargetReport): void {
     const before = this.held?.report;
     if (before !== undefined && report.sequence < before.sequence) return;
-    // A target that leaves does not come back as the same incarnation.
+    // A leaving incarnation never becomes ready again.
     const state = before?.state === 'leaving' ? 'leaving' : report.state;
     const born = report.born ?? before?.born;
     this.held = { report: { ...report, state, born }, receivedAt: this.clock.now() };
@@ -171,8 +165,8 @@
   }
 
   /**
-   * Another incarnation takes over from one that has ended or fallen silent, if it says that it started later, or once it
-   * has reported twice in order, some time apart, since the last report of the present one: other reports may be late ones.
+   * Whether another incarnation may take over the lease; records it as the candidate if not. Without a later start time, two
+   * reports in order and some time apart are required, since a single one may be a late report.
    */
   private mayTakeOver(held: HeldLease, report: TargetReport): boolean {
     if (held.report.state === 'leaving' || this.current === undefined) return true;
@@ -201,6 +195,7 @@
   }
 }
 
+/** Adds a name, evicting the oldest one above {@link MAX_REMEMBERED}. */
 function addBounded(names: Set<string>, name: string): void {
   names.add(name);
   if (names.size <= MAX_REMEMBERED) return;
--- a/src/membership/target-probe.ts
+++ b/src/membership/target-probe.ts
@@ -1,16 +1,13 @@
 /**
- * Asks the target of a machine for its health once a restarted sidecar knows where: targets report themselves only now and
- * then, and until the next report a sound target would stand idle.
- *
- * For: the wiring of a sidecar, which asks once, if no report has come. Owns: the time limit of the probe. Relies on: a
- * target that names itself and its slots in the answer's headers, and on the sidecar to log what was found.
+ * Probes the health check of a target after a restart of its sidecar, so that a healthy target can be used before its next
+ * periodic report. The instance id and the slots are taken from the response headers.
  */
 import { request } from 'undici';
 import { headerValue, type TargetHeaders } from '../http/target-headers.js';
 import type { TargetReport } from './target-lease.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Whom to ask. */
+/** The target to probe. */
 export interface ProbedTarget {
   /** `ADDRESS:PORT` that the target serves. */
   readonly address: string;
@@ -19,14 +16,14 @@
   readonly path: string;
 }
 
-/** A probe waits for a slot like a request, so a busy target needs some time. */
+/** Timeout of a probe, in milliseconds. A probe waits for a slot like any request, so a busy target responds slowly. */
 const TIMEOUT_MS = 1_000;
-/** Fields of the load that a target tells: running, waiting, slots. */
+/** Number of fields in the load header: running, waiting, slots. */
 const LOAD_FIELDS = 3;
 
 /**
- * What a sound target says about itself, as a report older than any that it sends.
- * @returns undefined when it does not answer, is not well, is leaving, or does not say what it is
+ * Probes a target and returns the result as a report that is older than any report the target sends itself.
+ * @returns undefined if the target does not respond, is unhealthy or leaving, or does not report its id and slots
  */
 export async function probeTarget(
   target: ProbedTarget,
@@ -45,12 +42,12 @@
     if (instance === undefined || slots === undefined) return undefined;
     return { instance, service, address, slots, state: 'ready', sequence: 0, coldRemainingMs: 0 };
   } catch {
-    // No answer in time, or no connection: the sidecar logs that none was found, and waits for the target's own report.
+    // Timeout or connection failure: the sidecar logs it and waits for a report of the target.
     return undefined;
   }
 }
 
-/** The slots in a load of the form `RUNNING,WAITING,SLOTS`. */
+/** Parses the slots from a load of the form `RUNNING,WAITING,SLOTS`; undefined if it is malformed. */
 function slotsOf(load: string | undefined): number | undefined {
   const fields = load?.split(',') ?? [];
   const slots = Number(fields[LOAD_FIELDS - 1]);
--- a/src/quota/asking-schedule.ts
+++ b/src/quota/asking-schedule.ts
@@ -1,46 +1,43 @@
 /**
- * When an ingress asks control for more of a group than was granted: at once when it runs short, less often the longer the
- * answers bring no permit, and for several groups in one report.
- *
- * Owns when control was last asked. Relies on a clock, and on control to answer a report with grants. Pure.
+ * Schedules the reports by which an ingress requests larger grants from control between heartbeats. Requests for one
+ * group back off exponentially while they yield no permit; requests for several groups are batched into one report.
  */
 import type { Clock } from '../common/clock.js';
 
-/**
- * Control is asked for more of a group at most this often, in milliseconds; the time doubles while the answers bring no
- * permit, up to about that between heartbeats.
- */
+/** Initial interval between requests for one group, in milliseconds. Doubles while no permit is obtained. */
 const MIN_REQUEST_INTERVAL_MS = 50;
+/** Upper bound of the interval, in milliseconds: about the interval between heartbeats. */
 const MAX_REQUEST_INTERVAL_MS = 800;
 /**
- * Asked less often than this for a group, in milliseconds, control has no more to grant: its requests are refused at once.
- * Passed with the fourth time in a row that brings no permit, 0.7 s after the first at the earliest.
+ * A group whose interval exceeds this many milliseconds counts as exhausted, and its requests are refused without waiting.
+ * Exceeded with the fourth consecutive request.
  */
 const EXHAUSTED_INTERVAL_MS = 400;
-/** Reports of an ingress that runs short of several groups are this far apart at least, in milliseconds. */
+/** Minimum interval between two reports that request grants, in milliseconds. */
 const MIN_GAP_MS = 20;
 
-/** How often control is asked for one group. */
+/** Exponential backoff of the grant requests for one group. */
 export class GrantRequestBackoff {
   private lastRequestAt = -Infinity;
-  /** Time for which control is not asked again, in milliseconds. */
+  /** Minimum time from the last request to the next, in milliseconds. */
   private intervalMs = MIN_REQUEST_INTERVAL_MS;
 
-  /** Whether the answers of control have brought no permit for so long that waiting for one is in vain. */
+  /** Whether so many requests in a row have yielded no permit that further waiting is pointless. */
   get isExhausted(): boolean {
     return this.intervalMs > EXHAUSTED_INTERVAL_MS;
   }
 
+  /** Resets the interval. */
   onPermit(): void {
     this.intervalMs = MIN_REQUEST_INTERVAL_MS;
   }
 
-  /** Milliseconds until control may be asked again. */
+  /** Milliseconds until the next request is allowed. */
   msToNext(now: number): number {
     return Math.max(0, this.lastRequestAt + this.intervalMs - now);
   }
 
-  /** Whether control is to be asked now; if so it is not asked again for twice as long as before. */
+  /** Returns whether a request may be sent now; if so, records it and doubles the interval. */
   tryRequest(now: number): boolean {
     if (now - this.lastRequestAt < this.intervalMs) return false;
     this.lastRequestAt = now;
@@ -49,18 +46,18 @@
   }
 }
 
-/** Asks control for all groups at once: those that run short within a moment share one report. */
+/** Batches the grant requests of all groups, so that requests made at about the same time share one report. */
 export class GrantRequestBatcher {
   private lastReportAt = -Infinity;
   private isDue = false;
 
-  /** @param sendReport sends a report */
+  /** @param sendReport sends a quota report to control */
   constructor(
     private readonly clock: Clock,
     private readonly sendReport: () => void,
   ) {}
 
-  /** Asks now, or as soon as the last time is long enough ago. */
+  /** Sends a report now, or as soon as {@link MIN_GAP_MS} have passed since the last one. */
   request(now: number): void {
     if (this.isDue) return;
     const waitMs = this.lastReportAt + MIN_GAP_MS - now;
--- a/src/quota/commitments.ts
+++ b/src/quota/commitments.ts
@@ -1,34 +1,36 @@
 /**
- * What ingresses may let run of each group, and the sums over all of them.
- *
- * {@link CommitmentTotals} owns the sums; {@link QuotaLedger}, which owns the commitments, tells it of each change. Pure.
+ * The commitments of control to ingresses: how many requests of a group each ingress may run in a window, and the totals
+ * over all ingresses.
  */
 import type { GroupUse } from './quota-messages.js';
 
-/** One group at one ingress. All amounts are requests in a window. */
+/** The commitment for one group at one ingress. All amounts are requests per window. */
 export interface Commitment {
-  /** What the ingress has reported last. */
+  /** The latest report of the ingress. */
   readonly use: GroupUse;
-  /** Largest grant that the ingress has not confirmed. */
+  /** Largest grant that the ingress has not yet confirmed; 0 if there is none. */
   granted: number;
-  /** Number of the report that this grant answers. */
+  /** Sequence number of the report that this grant answers. */
   grantSequence: number;
 }
 
-/** Sums over all ingresses, for one group, in requests in a window. */
+/** Totals over all ingresses for one group, in requests per window. */
 export interface GroupTotals {
   readonly committed: number;
-  /** Of ingresses that began empty. */
+  /** The part of `committed` that belongs to ingresses which started without any grant. */
   readonly committedToFresh: number;
   readonly offered: number;
 }
 
-/** Most that the ingress may have run in a window. */
+/** Upper bound on the requests that the ingress may run in a window. */
 export function committedOf({ use, granted }: Commitment): number {
   return Math.max(use.held, use.used, granted);
 }
 
-/** What remains under way of a grant once the ingress has adopted the answers up to the report `adopted`. */
+/**
+ * Returns the part of a commitment that is still in flight to the ingress.
+ * @param adopted sequence number of the newest report whose answer the ingress has applied
+ */
 export function unconfirmed(
   commitment: Commitment | undefined,
   adopted: number,
@@ -37,6 +39,7 @@
   return grantSequence <= adopted ? { granted: 0, grantSequence: 0 } : { granted, grantSequence };
 }
 
+/** Maintains {@link GroupTotals} incrementally as commitments are added and removed. */
 export class CommitmentTotals {
   private readonly totals = new Map<string, { -readonly [Sum in keyof GroupTotals]: number }>();
 
@@ -44,7 +47,7 @@
     return this.sums(group);
   }
 
-  /** @param isFresh whether the ingress began empty */
+  /** @param isFresh whether the ingress started without any grant */
   add(commitment: Commitment, isFresh: boolean): void {
     const { group, offered } = commitment.use;
     this.commit(group, committedOf(commitment), isFresh);
@@ -57,7 +60,7 @@
     this.sums(group).offered -= offered;
   }
 
-  /** That many requests more are committed, or fewer. */
+  /** Adds to the committed requests of a group; a negative amount subtracts. */
   commit(group: string, requests: number, isFresh: boolean): void {
     const sums = this.sums(group);
     sums.committed += requests;
--- a/src/quota/grant-rule.ts
+++ b/src/quota/grant-rule.ts
@@ -1,50 +1,44 @@
 /**
- * The rule by which a leader of control grants an ingress a part of what a group may run in a window. Asked by
- * {@link QuotaLedger} for each group of each report; all amounts are requests in a window.
- *
- * Owns nothing; pure.
+ * Computes the grant of one group to one ingress: the share of the group's limit that the ingress may run in a window. All
+ * amounts are requests per window. docs/design/shifted-work.md describes the algorithm.
  */
 import { committedOf, type Commitment, type GroupTotals } from './commitments.js';
 import { QUOTA_LEASE_MS, type GroupUse } from './quota-messages.js';
 
-/**
- * An ingress gets at least this many requests more than it was offered: demand may rise before it asks again.
- */
+/** Minimum spare on top of the offered requests, so that demand may rise before the next report. */
 const MIN_SPARE = 1;
-/**
- * An ingress that has been offered few requests gets up to this many more, and up to twice what it was offered.
- */
+/** The spare is at most the offered requests plus this many, so that an ingress with little demand can still grow. */
 const START_SPARE = 2;
 /**
- * More than a limit that is offered, as a part of it, from which the limit is divided; below, whoever runs short first
- * gets what is left, which wastes less of it: docs/design/shifted-work.md has the whole rule beside
- * three others.
+ * Ratio of offered requests to the limit above which the limit is divided in proportion to demand. Below, the remainder
+ * goes to the ingresses that request it first, which leaves less of the limit unused.
  */
 const OVERLOAD_RATIO = 1.1;
-/**
- * Part of a limit that is divided where more is offered; the rest is for ingresses that begin to be offered requests. Not
- * measured by itself.
- */
+/** Fraction of the limit that is divided under overload. The rest is reserved for ingresses whose demand starts later. */
 const OVERLOAD_GRANTED_FRACTION = 0.95;
 
-/** What decides a grant. */
+/** The inputs of {@link allowanceOf}. */
 export interface GrantInputs {
-  /** Of the ingress and the group. */
+  /** The current commitment for the group at the ingress. */
   readonly commitment: Commitment;
-  /** Of the group, this ingress included. */
+  /** The totals of the group, including this ingress. */
   readonly totals: GroupTotals;
-  /** Requests in a window that may be handed out to all ingresses. */
+  /** Requests per window that may be granted to all ingresses together. */
   readonly limit: number;
   /** Length of the window, in milliseconds. */
   readonly windowMs: number;
-  /** Milliseconds since which every grant is known to this replica. */
+  /** Time since this replica began to record grants, in milliseconds. */
   readonly knownForMs: number;
-  /** Whether the ingress began empty, and which part of all did; asked only while grants of an earlier leader may hold. */
+  /** Whether the ingress started without any grant. */
   readonly isFresh: boolean;
+  /** Fraction of all ingresses that are fresh. Called only while grants of an earlier leader may still be valid. */
   readonly freshPart: () => number;
 }
 
-/** Requests that the ingress may let run in a window, a whole number: a fraction would be taken from others for nothing. */
+/**
+ * Returns the requests that the ingress may run in a window, rounded down: a fraction of a request would reduce the grants
+ * of others without being usable.
+ */
 export function allowanceOf(inputs: GrantInputs): number {
   const { commitment, totals, limit } = inputs;
   const free = Math.max(0, limit - (totals.committed - committedOf(commitment)));
@@ -53,10 +47,11 @@
 }
 
 /**
- * Until every grant of an earlier leader has ended, or was heard of, ingresses keep at most what they have: a leader that
- * began empty gave out what others held that were cut off, up to 1.12 times the bound in the simulation. What ingresses
- * held that have begun empty as well is void, and is given out again once what they ran has left every window: after a
- * loss of all power nothing ran for 8 s otherwise. Given out sooner, 1.35 times the bound ran under a surge.
+ * Upper bound of a grant while grants of an earlier leader may still be valid but unknown here, for example those of a
+ * partitioned ingress. Until these have expired, an ingress keeps at most what it holds, so that the quota isn't exceeded.
+ *
+ * Former grants of fresh ingresses are void, so their share of the limit is granted anew after one window, when the requests
+ * from before their restart no longer count. Otherwise all requests would be refused for longer after a full restart.
  */
 function maxWhileGrantsUnknown(inputs: GrantInputs): number {
   const { commitment, totals, limit, windowMs, knownForMs, isFresh, freshPart } = inputs;
@@ -67,9 +62,8 @@
 }
 
 /**
- * What an ingress is to have. While all together stay within the limit: what it was offered, and of what is left a part that
- * shrinks as the limit comes near, so that more remains for whoever runs short. Beyond the limit: a part of it as large as
- * its part of what is offered.
+ * Returns the allowance that an ingress should have. Up to the overload ratio: its offered requests plus a spare that
+ * shrinks as total demand approaches the limit. Above: a share of the limit in proportion to its offered requests.
  */
 function desiredAllowance(
   { offered, used }: GroupUse,
--- a/src/quota/group-quota.ts
+++ b/src/quota/group-quota.ts
@@ -1,41 +1,40 @@
 /**
- * The permits of one group at one ingress: as many requests may run in a window as control has granted. The rule
- * `rate-limited` of an ingress.
- *
- * Owns the grant and the counts of the window. Pure: the time is passed in. Relies on {@link IngressQuota} for grants.
+ * The permits of one group at one ingress: limits the requests that run in a sliding window to the number that control has
+ * granted. Requests above it are refused as `rate-limited`.
  */
 import { rateLimitedSeconds } from '../call/retry-after.js';
 import { SlidingCount } from '../common/sliding-count.js';
 import type { GroupUse } from './quota-messages.js';
 
-/** Lets one request run within the quota of its group. */
+/** Permission to run one request within the quota of its group. */
 export interface QuotaPermit {
-  /** The request has surely not run: another one may run in its place. */
+  /** Returns the permit; call only if the request has certainly not run. */
   release(): void;
 }
 
-/** Where a group stands at this ingress, to tell a refused client and the log. */
+/** The state of a group at this ingress, for the answer to a refused client and the log. */
 export interface QuotaState {
-  /** One sentence on what the group has used, may use and has asked for. */
+  /** One sentence with the used, granted and offered requests. */
   readonly description: string;
-  /** Seconds after which a refused request of the group may get a permit. */
+  /** Seconds after which a refused request may obtain a permit when it is retried. */
   readonly retryAfterSeconds: number;
 }
 
 /**
- * The window that is counted is longer by this part: requests run a little later than they are counted, up to the wait
- * at a gate. Longer, fewer may run; shorter, more may run in a window of targets than were granted.
+ * Fraction by which the counted window is longer than the quota window. Requests run slightly after they are counted, as
+ * they may wait at a gate, so an exact window could admit more than the grant in a window at the targets.
  */
 const WINDOW_MARGIN = 0.02;
 
+/** Counts the requests of one group and issues permits up to the granted allowance. */
 export class GroupQuota {
-  /** Requests in a window that may run, until {@link validUntil}. */
+  /** Requests per window that may run; valid until {@link validUntil}. */
   private allowance = 0;
   /** Monotonic milliseconds. */
   private validUntil = -Infinity;
-  /** Requests that have run or may run. */
+  /** Requests that have run or may have run. */
   private readonly used: SlidingCount;
-  /** Refused requests included. */
+  /** All requests, including refused ones. */
   private readonly offered: SlidingCount;
 
   /** @param windowMs length of the window in milliseconds */
@@ -44,18 +43,21 @@
     this.offered = new SlidingCount(windowMs * (1 + WINDOW_MARGIN));
   }
 
-  /** Control has granted. @param validUntil monotonic milliseconds */
+  /**
+   * Applies a grant.
+   * @param validUntil when the grant expires, in monotonic milliseconds
+   */
   onGrant(allowance: number, validUntil: number): void {
     this.allowance = allowance;
     this.validUntil = validUntil;
   }
 
-  /** A request of the group has come. */
+  /** Counts an incoming request of the group. */
   onOffered(now: number): void {
     this.offered.add(now);
   }
 
-  /** Takes a permit; undefined where the group has had what it may have in a window. */
+  /** Acquires a permit; undefined if the allowance for the window is used up. */
   tryAcquire(now: () => number): QuotaPermit | undefined {
     const takenAt = now();
     if (this.used.total(takenAt) + 1 > this.allowed(takenAt)) return undefined;
@@ -69,7 +71,7 @@
     };
   }
 
-  /** What control is told of the group. */
+  /** The usage of the group, for the report to control. */
   use(group: string, now: number): GroupUse {
     const used = this.used.total(now);
     const offered = this.offered.total(now);
@@ -92,7 +94,7 @@
   }
 }
 
-/** Where a group stands that has no grant. */
+/** The state of a group without a grant. */
 export const NOTHING_GRANTED: QuotaState = {
   description: 'Control has granted it nothing here.',
   retryAfterSeconds: rateLimitedSeconds(undefined),
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -1,10 +1,7 @@
 /**
- * Bounds at one ingress how many requests of each group run in a window: by what a leader of control has granted it, which
- * all ingresses together keep within the quota of the group.
- *
- * Owns the groups with their permits, and the requests that wait for one. Relies on reports being sent with heartbeats and
- * when {@link IngressQuotaOptions.onShort} asks for one, and on {@link QuotaLedger} to keep the sum of all grants within the
- * quota. Pure: clock and messages come in.
+ * Enforces the quotas of groups at one ingress: limits the requests of each group per window to the grant of the leader of
+ * control, which keeps the sum of all grants within the quota of the group. Requests may wait for a larger grant.
+ * Reports are sent with each heartbeat and whenever {@link IngressQuotaOptions.onShort} is called.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { Group } from '../policy/group-table.js';
@@ -19,20 +16,21 @@
 
 export type { QuotaPermit, QuotaState } from './group-quota.js';
 
-/** What the quota of an ingress is made of. */
+/** Options of {@link IngressQuota}. */
 export interface IngressQuotaOptions {
   readonly clock: Clock;
-  /** Start of the process, in milliseconds since 1970. */
+  /** Start time of the process, in milliseconds since 1970. */
   readonly startedAt: number;
+  /** Length of the quota window, in milliseconds. */
   readonly windowMs: number;
-  /** More is wanted than was granted: control is to be asked now. */
+  /** Called when demand exceeds a grant, to send a report to control now. */
   readonly onShort: () => void;
 }
 
-/** Hears whether a request may run; undefined where it may not. */
+/** Receives the permit of a request, or undefined if the request may not run. */
 export type PermitListener = (permit: QuotaPermit | undefined) => void;
 
-/** Groups that are remembered without a request in the last window, to bound memory. */
+/** Number of groups above which idle ones are evicted, to bound memory. */
 const MAX_IDLE_GROUPS = 1_000;
 
 /** A request that waits for a permit. */
@@ -45,7 +43,7 @@
 interface GroupEntry {
   readonly quota: GroupQuota;
   readonly requestBackoff: GrantRequestBackoff;
-  /** In the order in which they came. */
+  /** In order of arrival. */
   waiters: Waiter[];
 }
 
@@ -55,11 +53,13 @@
   },
 };
 
+/** Issues permits for the requests of all groups at one ingress. */
 export class IngressQuota {
   private readonly groups = new Map<string, GroupEntry>();
   private readonly requestBatcher: GrantRequestBatcher;
-  /** Newest report whose answer was adopted, and the newest that was sent. */
+  /** Sequence number of the newest report whose answer was applied. */
   private adopted = 0;
+  /** Sequence number of the newest report. */
   private sequence = 0;
   private readonly createdAt: number;
   private readonly now: () => number;
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Asks for the permit of a request. The listener may hear before this returns.
-   * @param maxWaitMs how long the request may wait for control to grant more
+   * Acquires a permit for a request. The listener may be called synchronously.
+   * @param maxWaitMs how long the request may wait for a larger grant, in milliseconds
    */
   acquire({ name, rate }: Group, maxWaitMs: number, listener: PermitListener): void {
     if (rate === undefined) {
@@ -93,7 +93,7 @@
     else this.wait(entry, maxWaitMs, listener);
   }
 
-  /** What to tell control. */
+  /** Builds the next report to control; increments the sequence number. */
   report(): QuotaReport {
     const now = this.now();
     const uses: GroupUse[] = [];
@@ -108,7 +108,10 @@
     return { startedAt: this.options.startedAt, uptimeMs, sequence, adopted, uses };
   }
 
-  /** A leader has granted. @param reportedAt monotonic milliseconds at which the heartbeat was sent */
+  /**
+   * Applies the grants of a leader; ignores answers that arrive out of order.
+   * @param reportedAt when the report was sent, in monotonic milliseconds
+   */
   onGrants({ sequence, grants }: QuotaGrants, reportedAt: number): void {
     if (sequence <= this.adopted) return;
     this.adopted = sequence;
@@ -120,7 +123,7 @@
     }
   }
 
-  /** Where the group stands here. */
+  /** The state of the group at this ingress. */
   state(group: string): QuotaState {
     return this.groups.get(group)?.quota.state(this.now()) ?? NOTHING_GRANTED;
   }
@@ -140,6 +143,7 @@
     entry.waiters.push(waiter);
   }
 
+  /** Passes permits to waiting requests, in order, while any are available. */
   private admitWaiters(entry: GroupEntry): void {
     while (entry.waiters.length > 0) {
       const permit = this.tryAcquire(entry);
@@ -150,7 +154,7 @@
     }
   }
 
-  /** A surge was larger when it was granted than when control was asked: the rest of it need not wait in vain. */
+  /** Requests a larger grant for the requests that still wait, as demand may have grown since the last report. */
   private scheduleGrantRequest(entry: GroupEntry): void {
     this.options.clock.schedule(entry.requestBackoff.msToNext(this.now()), () => {
       if (entry.waiters.length > 0) this.requestGrant(entry, this.now());
--- a/src/quota/quota-ledger.ts
+++ b/src/quota/quota-ledger.ts
@@ -1,11 +1,9 @@
 /**
- * What each ingress may let run of each group, as one replica of control knows it. Every replica hears every ingress, so
- * that a new leader knows what the one before it has granted; only a leader grants. For each group the commitments of
- * all ingresses together stay within what its quota gives in a window: an ingress is committed for what it may let run,
- * for what it has run, and for grants that it has not confirmed.
+ * Tracks at one control replica how many requests of each group every ingress may run in a window, and computes grants so
+ * that the total of each group stays within its limit. A commitment covers the current grant, the requests that have run
+ * and grants that are not yet confirmed.
  *
- * Owns the commitments of all ingresses. Relies on {@link allowanceOf} for how much is granted, and on ingresses to report
- * with each heartbeat. Pure: time and reports come in.
+ * Every replica receives all reports, so that a new leader knows the grants of the previous one; only the leader answers.
  */
 import { allowanceOf } from './grant-rule.js';
 import { committedOf, CommitmentTotals, unconfirmed, type Commitment } from './commitments.js';
@@ -16,52 +14,54 @@
   type QuotaReport,
 } from './quota-messages.js';
 
-/** What the ledger is made of. */
+/** Options of {@link QuotaLedger}. */
 export interface QuotaLedgerOptions {
+  /** Length of the quota window, in milliseconds. */
   readonly windowMs: number;
-  /** Requests in a window that may be handed out of a group; undefined where it has no limit. */
+  /** Requests of a group that may be granted per window; undefined if the group has no limit. */
   readonly limitOf: (group: string) => number | undefined;
 }
 
 interface IngressEntry {
-  /** Start of the process, in milliseconds since 1970, by its own clock. */
+  /** Start time of the process, in milliseconds since 1970, by its own clock. */
   readonly startedAt: number;
-  /** Of the newest report. */
+  /** Sequence number of the newest report. */
   readonly sequence: number;
   /** Monotonic milliseconds. */
   readonly lastReportAt: number;
-  /** Whether it began empty after this replica had begun, or just before: what it held earlier is void. */
+  /** Whether the ingress started without any grant and not before this replica: its former grants are void. */
   readonly isFresh: boolean;
   readonly commitments: Map<string, Commitment>;
 }
 
-/** What a process that is gone may have run of a group. */
+/** Requests of a group that a process which has ended or restarted may have run. */
 interface PastUse {
   readonly group: string;
-  /** Requests in a window. */
+  /** Requests per window. */
   readonly amount: number;
-  /** Monotonic milliseconds at which the last of it has left every window. */
+  /** When the last of these requests leaves the window, in monotonic milliseconds. */
   readonly until: number;
 }
 
-/** Processes that begin after one loss of power are up within this of one another, in milliseconds. */
+/** Maximum difference between the start times of processes that start after the same power loss, in milliseconds. */
 const MAX_START_SKEW_MS = 2_000;
 
+/** The commitments of all ingresses, as known to one replica. */
 export class QuotaLedger {
   private readonly ingresses = new Map<string, IngressEntry>();
   private readonly totals = new CommitmentTotals();
   private pastUses: PastUse[] = [];
 
-  /** @param startedAt monotonic milliseconds since which every grant is known here */
+  /** @param startedAt when this replica began to record grants, in monotonic milliseconds */
   constructor(
     private readonly options: QuotaLedgerOptions,
     private readonly startedAt: number,
   ) {}
 
   /**
-   * An ingress has reported. A replica that does not lead works out the same grants, so that it knows about what the
-   * ingress may have been given should it lead next.
-   * @returns what a leader grants; undefined where the ingress has told something newer before
+   * Processes a report of an ingress. A replica that is not the leader computes the same grants, so that it knows
+   * approximately what the ingress holds if it becomes the leader.
+   * @returns the grants to answer with; undefined if a newer report was already processed
    */
   onReport(id: string, report: QuotaReport, now: number): QuotaGrants | undefined {
     this.expire(now);
@@ -79,7 +79,7 @@
     return { sequence, grants: this.grant(entry, now) };
   }
 
-  /** Puts what the ingress reports, with the grants that it has not confirmed, in the place of what was known before. */
+  /** Replaces the previous commitments by the reported ones, and keeps grants that are not yet confirmed. */
   private adopt(
     entry: IngressEntry,
     { uses, adopted }: QuotaReport,
@@ -94,7 +94,7 @@
     }
   }
 
-  /** A grant that is under way to an ingress which reported without the group. */
+  /** Keeps a grant that is in flight to an ingress whose report does not contain the group. */
   private keepUnconfirmed(entry: IngressEntry, commitment: Commitment, adopted: number): void {
     const { granted, grantSequence } = unconfirmed(commitment, adopted);
     if (granted === 0) return;
@@ -138,7 +138,7 @@
     this.totals.commit(commitment.use.group, committedOf(commitment) - before, entry.isFresh);
   }
 
-  /** Part of the ingresses that have begun empty. */
+  /** Fraction of ingresses that started without any grant. */
   private freshPart(): number {
     let fresh = 0;
     for (const { isFresh } of this.ingresses.values()) if (isFresh) fresh += 1;
@@ -150,7 +150,7 @@
     return isYounger && uses.every(({ held }) => held === 0);
   }
 
-  /** The process of an entry is gone; what it may have run counts for a window. */
+  /** Removes the entry of a process that has ended; requests it may have run count for one more window. */
   private retire(id: string, entry: IngressEntry, now: number): void {
     for (const [group, commitment] of entry.commitments) {
       const amount = committedOf(commitment);
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Forgets past uses that have left every window, and ingresses whose grants have ended and left it as well. */
+  /** Evicts past uses that have left the window, and ingresses whose grants have expired at least one window ago. */
   private expire(now: number): void {
     const { windowMs } = this.options;
     for (const { group, amount, until } of this.pastUses) {
@@ -182,7 +182,7 @@
 
 const NO_COMMITMENTS: ReadonlyMap<string, Commitment> = new Map();
 
-/** Whether a report was sent before the one that the entry has. */
+/** Whether the entry already holds this report or a newer one of the same process. */
 function isOlder({ startedAt, sequence }: QuotaReport, entry: IngressEntry): boolean {
   return startedAt === entry.startedAt && sequence <= entry.sequence;
 }
--- a/src/quota/quota-messages.ts
+++ b/src/quota/quota-messages.ts
@@ -1,48 +1,47 @@
 /**
- * What ingresses and control tell each other about the quotas of groups, with heartbeats and their answers. These types go
- * over the wire as they stand (`sync/heartbeat.ts`). Owns the length of a grant's lease.
+ * The quota messages between ingresses and control, which are part of heartbeats and their answers
+ * (`sync/heartbeat.ts`). These types are the wire format.
  */
 
-/** One group at one ingress. */
+/** The usage of one group at one ingress. */
 export interface GroupUse {
   readonly group: string;
-  /** Requests of the last window that have run or may run. */
+  /** Requests in the last window that have run or may have run. */
   readonly used: number;
-  /** Requests of the last window, refused ones included. */
+  /** All requests in the last window, including refused ones. */
   readonly offered: number;
-  /** Most requests in a window that the ingress allows now. */
+  /** Requests per window that the ingress may currently run. */
   readonly held: number;
 }
 
-/** What an ingress tells with each heartbeat. */
+/** The quota report of an ingress, sent with each heartbeat. */
 export interface QuotaReport {
-  /** Start of the process, in milliseconds since 1970: one that was restarted has forgotten what it ran. */
+  /** Start time of the process, in milliseconds since 1970. A change means that the counts of the process were lost. */
   readonly startedAt: number;
-  /** Milliseconds for which the process has run, by its own steady clock. */
+  /** Time since the start of the process, in milliseconds, by its monotonic clock. */
   readonly uptimeMs: number;
-  /** Counts the reports of the process, from 1: heartbeats may overtake one another. */
+  /** Number of the report, from 1: heartbeats may arrive out of order. */
   readonly sequence: number;
-  /** The newest report whose answer was adopted; 0 before the first. */
+  /** Sequence number of the newest report whose answer was applied; 0 before the first. */
   readonly adopted: number;
   readonly uses: readonly GroupUse[];
 }
 
-/** Most requests of one group that an ingress may let run in a window. */
+/** Maximum number of requests of one group that an ingress may run in a window. */
 export interface GroupGrant {
   readonly group: string;
   readonly allowance: number;
 }
 
-/** What a leader grants in answer to a report; holds for {@link QUOTA_LEASE_MS} from when that was sent. */
+/** The answer of a leader to a report. Valid for {@link QUOTA_LEASE_MS} from when the report was sent. */
 export interface QuotaGrants {
-  /** The report that is answered. */
+  /** Sequence number of the report that is answered. */
   readonly sequence: number;
   readonly grants: readonly GroupGrant[];
 }
 
 /**
- * Time for which a grant holds, in milliseconds: as long as a loss of the leader lasts in most cases (detection 0.6 to
- * 1.2 s, election and first heartbeat another second). Shorter, a lost leader refuses groups with a rate; longer, a group
- * runs short for longer after an ingress is lost.
+ * Lease duration of a grant, in milliseconds. Longer than a leader change usually takes, since requests are refused once the
+ * lease has expired. With a longer lease, the share of a failed ingress would stay unused for longer.
  */
 export const QUOTA_LEASE_MS = 4_500;
--- a/src/sync/heartbeat.ts
+++ b/src/sync/heartbeat.ts
@@ -1,31 +1,31 @@
 /**
- * Heartbeats: what a process that follows control reports of itself to each replica, and the answer. A follower here is such a
- * process, never the Raft role. Types alone; they are the wire form.
+ * The heartbeat that each follower (a node, edge or sidecar, not the Raft role) sends to every control replica, and the
+ * answer. These types are the wire format.
  */
 import type { CrashNews } from '../quarantine/crash-report.js';
 import type { QuotaGrants, QuotaReport } from '../quota/quota-messages.js';
 import type { EndpointState } from '../call/endpoint.js';
 import type { EndpointPosition } from './sync-protocol.js';
 
-/** What a process says of itself. */
+/** The state that a process reports about itself. */
 export interface Heartbeat {
   readonly id: string;
   readonly role: 'node' | 'edge';
-  /** Wall-clock milliseconds at which the process started. */
+  /** Start time of the process, in milliseconds since 1970. */
   readonly incarnation: number;
   readonly zone: string;
   /** Set for nodes. */
   readonly service: string | undefined;
-  /** Inbound origin; set for nodes. */
+  /** Origin for inbound calls; set for nodes. */
   readonly origin: string | undefined;
   readonly state: EndpointState;
-  /** Revision that the process applies now. */
+  /** Configuration revision that the process currently applies. */
   readonly appliedRevision: number;
-  /** Epoch of its service's claim view that a node has taken over in full; 0 for edges. */
+  /** Epoch of the service's claim view that the node has completely adopted; 0 for edges. */
   readonly claimEpoch: number;
-  /** Crashes of targets; absent where there are none. */
+  /** Crashes of targets; absent if there are none. */
   readonly crashNews?: CrashNews | undefined;
-  /** Requests of groups with a limit; absent where there are none. */
+  /** Usage of groups with a quota; absent if there are none. */
   readonly quota?: QuotaReport | undefined;
 }
 
@@ -34,16 +34,16 @@
   | {
       readonly type: 'ok';
       readonly revision: number;
-      /** Whether the replica has a leader, so that it receives every change. */
+      /** Whether the replica has a leader and therefore receives every change. */
       readonly isCurrent: boolean;
-      /** Origins of all control replicas, as far as the replica knows them. */
+      /** Origins of all control replicas known to the replica. */
       readonly controlOrigins?: readonly string[];
-      /** Where the replica's endpoint list stands; missing in answers of versions that don't tell. */
+      /** Version of the replica's endpoint list; absent in answers of older versions. */
       readonly endpoints?: EndpointPosition;
-      /** From a leader: milliseconds ago up to which `revision` holds every acknowledged change. */
+      /** Set by a leader: `revision` includes all changes acknowledged up to this many milliseconds ago. */
       readonly confirmedAgeMs?: number | undefined;
-      /** From a leader: what the process may let run of groups with a limit. */
+      /** Set by a leader: the quota grants of the process. */
       readonly quota?: QuotaGrants | undefined;
     }
-  /** Another process with the same id is newer: this one must stop taking calls. */
+  /** A newer process has the same id; this one must stop accepting calls. */
   | { readonly type: 'superseded' };
--- a/src/sync/status-report.ts
+++ b/src/sync/status-report.ts
@@ -1,61 +1,60 @@
 /**
- * The answer of `GET /v1/status`, as control builds it and operators' commands show it: the accepted revision, the
- * distributed one (held by the replica that answers), the one in force on every member, and the state of replication.
- * Types alone; a JSON body, so what is undefined is absent from it.
+ * The JSON response of `GET /v1/status`: the accepted, distributed and in-force revisions, and the state of replication.
+ * Undefined properties are absent from the response.
  */
 import type { ReplicaPhase } from '../consensus/replica-host.js';
 
-/** The state of replication at one replica, for `status`. */
+/** The state of replication at one replica. */
 export interface LogStatus {
   readonly role: 'leader' | 'follower' | 'candidate' | 'learner';
-  /** How far the replica has come: `running` when it takes part. */
+  /** Phase of the replica; `running` while it participates in replication. */
   readonly phase: ReplicaPhase;
   readonly term: number;
   readonly leaderId: string | undefined;
-  /** Where the leader serves its API. */
+  /** Origin of the API of the leader. */
   readonly leaderOrigin: string | undefined;
-  /** Where every replica of the set serves its API. */
+  /** Origins of the APIs of all replicas in the set. */
   readonly origins: readonly string[];
   readonly commitIndex: number;
   readonly lastIndex: number;
   readonly voters: readonly string[];
   readonly learners: readonly string[];
-  /** Whether the last change of the replica set is committed, that is, a repair is finished. */
+  /** Whether the last change of the replica set is committed. */
   readonly replicasSettled: boolean;
-  /** Set when the replica cannot take part fully, with the reason. */
+  /** The reason why the replica cannot participate fully; undefined if it can. */
   readonly problem: string | undefined;
   /**
-   * On a leader: milliseconds ago up to which every acknowledged change is applied here, as a majority has confirmed
-   * since. Undefined elsewhere.
+   * Set on a leader: all changes acknowledged up to this many milliseconds ago are applied here, as confirmed by a
+   * majority.
    */
   readonly confirmedAgeMs: number | undefined;
 }
 
-/** Members that apply one revision. */
+/** Number of members that apply a revision. */
 export interface RevisionHolders {
   readonly revision: number;
   readonly count: number;
 }
 
-/** A member that does not apply the newest revision. */
+/** A member that does not yet apply the newest revision. */
 export interface LaggingMember {
   readonly id: string;
   readonly zone: string;
   readonly appliedRevision: number;
 }
 
-/** The answer of `GET /v1/status`. */
+/** The response of `GET /v1/status`. */
 export interface StatusReport {
   readonly replicaId: string;
   readonly replication: LogStatus;
-  /** Revision up to which changes were accepted, as far as this replica knows. */
+  /** Newest accepted revision that is known to this replica. */
   readonly acceptedRevision: number;
-  /** Revision that this replica hands out. */
+  /** Revision that this replica distributes to followers. */
   readonly distributedRevision: number;
-  /** Lowest revision that any member applies; equals the accepted one when it is in force. */
+  /** Lowest revision that any member applies; equals the accepted revision once that is in force. */
   readonly inForceRevision: number;
   readonly memberCount: number;
   readonly holders: readonly RevisionHolders[];
-  /** Members that lag; the first 50 of them. */
+  /** The first 50 lagging members. */
   readonly lagging: readonly LaggingMember[];
 }
--- a/src/sync/sync-codec.ts
+++ b/src/sync/sync-codec.ts
@@ -1,40 +1,42 @@
 /**
- * The wire form of an answer to a sync. Its configuration part is the same for all followers at one
- * revision, and large after a change of many routes: it is encoded and compressed once, as bytes of its
- * own within the message.
+ * Encoding of sync responses. The configuration part is identical for all followers at one revision and may be large, so it
+ * is encoded and compressed once and embedded in each response as bytes.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import type { SyncResponse } from './sync-protocol.js';
 
-/** What an answer brings of the configuration. */
+/** The configuration part of a response. */
 export type ConfigurationNews = Pick<SyncResponse, 'revision' | 'resources' | 'changes'>;
 
-/** What an answer brings of the endpoints. */
+/** The endpoint part of a response. */
 export type EndpointNews = Omit<SyncResponse, keyof ConfigurationNews>;
 
-/** A {@link ConfigurationNews} as bytes. */
+/** An encoded {@link ConfigurationNews}. */
 export interface PackedConfiguration {
   readonly isCompressed: boolean;
   readonly bytes: Uint8Array;
 }
 
-/** A {@link SyncResponse} as it is sent. */
+/** The wire format of a {@link SyncResponse}. */
 export interface PackedSync extends EndpointNews {
   readonly configuration: PackedConfiguration;
 }
 
-/** Smaller parts are sent as they are: compressing them saves less than a packet, in bytes. */
+/** Minimum size for compression, in bytes: about one packet, below which compression saves nothing. */
 const MIN_COMPRESSED_BYTES = 1_400;
 
-/** Encodes the configuration part. */
+/** Encodes the configuration part, compressed if it is large. */
 export function packConfiguration(news: ConfigurationNews): PackedConfiguration {
   const bytes = encodeMessage(news);
   if (bytes.length < MIN_COMPRESSED_BYTES) return { isCompressed: false, bytes };
   return { isCompressed: true, bytes: deflateRawSync(bytes) };
 }
 
-/** Decodes an answer. Throws where the bytes are no such message. */
+/**
+ * Decodes a response.
+ * @throws if the configuration part cannot be decompressed or decoded
+ */
 export function unpackSync({ configuration, ...endpointNews }: PackedSync): SyncResponse {
   const { isCompressed, bytes } = configuration;
   const plain = isCompressed ? inflateRawSync(bytes) : bytes;
--- a/src/sync/sync-protocol.ts
+++ b/src/sync/sync-protocol.ts
@@ -1,7 +1,7 @@
 /**
- * The internal protocol between followers (nodes, edges and sidecars, not the Raft role) and control replicas: msgpack bodies
- * over HTTP POST, with the deployment's link token. `sync` is a long poll that answers when there is
- * something new, so its cost follows changes and not the size of the fleet.
+ * The internal protocol between followers (nodes, edges and sidecars, not the Raft role) and control replicas: msgpack
+ * bodies over HTTP POST, authenticated by the deployment's link token. `sync` is a long poll that is answered when the
+ * configuration, the endpoints or the suspects have changed.
  */
 import type { EndpointRecord } from '../call/endpoint.js';
 import type { SuspectList } from '../quarantine/crash-report.js';
@@ -10,43 +10,43 @@
 export const HEARTBEAT_PATH = '/internal/heartbeat';
 export const SYNC_PATH = '/internal/sync';
 
-/** Longest time a replica holds a sync request, in milliseconds. */
+/** Maximum time before a replica answers a sync request without changes, in milliseconds. */
 export const SYNC_HOLD_MS = 10_000;
 
-/** The revision of a process that has just started and has none. */
+/** The revision of a process that has not received a configuration yet. */
 export const NO_REVISION = -1;
 
-/** A place in the endpoint list of one replica: versions count from each start of a replica anew. */
+/** A version of the endpoint list of one replica. Versions are only comparable within one incarnation of a replica. */
 export interface EndpointPosition {
-  /** Names the replica and its start. */
+  /** Identifies the incarnation of the replica. */
   readonly source: string;
   readonly version: number;
 }
 
-/** What a follower has. */
+/** The state of a follower, from which a replica determines the changes to send. */
 export interface SyncRequest {
   /** Applied revision, or {@link NO_REVISION}. */
   readonly revision: number;
-  /** Replica and its incarnation that `endpointVersion` counts at. */
+  /** The replica incarnation that `endpointVersion` belongs to. */
   readonly endpointSource: string;
   readonly endpointVersion: number;
-  /** Version of that replica's list of suspects; absent from processes that do not know it. */
+  /** Version of that replica's suspect list; absent if the process does not support it. */
   readonly suspectVersion?: number;
 }
 
-/** News for a follower. */
+/** The changes since the state of a follower. */
 export interface SyncResponse {
-  /** Revision that the follower is at after applying the answer. */
+  /** Revision of the follower after applying the response. */
   readonly revision: number;
-  /** All resources, when the follower is too far behind for changes. */
+  /** All resources, if the follower is too far behind for incremental changes. */
   readonly resources: readonly StoredResource[] | undefined;
   readonly changes: readonly ResourceChange[];
   readonly endpointSource: string;
   readonly endpointVersion: number;
-  /** All endpoints, when the follower has none from this source or is too far behind. */
+  /** All endpoints, if the follower has none of this source or is too far behind for incremental changes. */
   readonly endpoints: readonly EndpointRecord[] | undefined;
   readonly endpointChanges: readonly EndpointChange[];
-  /** Requests under which targets have crashed; absent where the follower has this list. */
+  /** Requests that are suspected of crashing targets; absent if the list of the follower is up to date. */
   readonly suspects?: SuspectList;
 }
 
@@ -54,6 +54,6 @@
 export interface EndpointChange {
   readonly version: number;
   readonly id: string;
-  /** The endpoint after the change; undefined when it is gone. */
+  /** The endpoint after the change; undefined if it was removed. */
   readonly record: EndpointRecord | undefined;
 }
--- a/src/sync/watch-event.ts
+++ b/src/sync/watch-event.ts
@@ -1,10 +1,10 @@
-/** The lines of `GET /v1/watch`: JSON, one event a line. Types alone. */
+/** The events of `GET /v1/watch`, sent as JSON lines. */
 import type { ResourceChange } from '../policy/stored-resource.js';
 
-/** A line of a watch. */
+/** One event of a watch. */
 export type WatchEvent =
   | { readonly type: 'change'; readonly change: ResourceChange }
-  /** Nothing has changed; the stream is alive and stands at this revision. */
+  /** Keep-alive without a change; the stream is up to date with this revision. */
   | { readonly type: 'bookmark'; readonly revision: number; readonly inForceRevision: number }
-  /** Changes were lost: list again, then watch from the list's revision. */
+  /** Changes were missed: the client must list again and watch from the revision of the list. */
   | { readonly type: 'relist' };
--- a/test/membership/registration-api.test.ts
+++ b/test/membership/registration-api.test.ts
@@ -18,8 +18,8 @@
 };
 
 /**
- * Reports of another writer: fields missing or of another type, unknown words, bytes that can't be read. None may name a
- * target to use, end the lease that a good report gave, or change what it said.
+ * Malformed reports: missing fields, wrong types, unknown values, invalid bytes. None may register a target, or end or
+ * change a valid lease.
  */
 describe('reports of targets that come from another writer', () => {
   let server: Server;
@@ -82,7 +82,7 @@
     );
     await fc.assert(
       fc.asyncProperty(field, other, async (name, value) => {
-        // A value of the right type is another good report.
+        // A value of the right type would make a valid report.
         fc.pre(typeof value !== typeof GOOD[name as keyof typeof GOOD]);
         expect(await send('PUT', JSON.stringify({ ...GOOD, [name]: value }))).to.be.within(
           400,
--- a/test/membership/target-lease.test.ts
+++ b/test/membership/target-lease.test.ts
@@ -93,7 +93,7 @@
         let sent = 0;
         let newest = '';
         for (let each = 1; each <= incarnations; each += 1) {
-          // Crashes without a word; the next one starts a second later.
+          // Crashes without deregistering; the next incarnation follows.
           newest = `i-${each}`;
           const isLast = each === incarnations;
           for (let sequence = 1; sequence <= 4; sequence += 1) {
@@ -103,7 +103,7 @@
             clock.schedule(atMs + delayMs, () => held.onReport(late));
           }
         }
-        // An instance that is not there turns calls away.
+        // Calls to an incarnation that no longer runs are misdirected.
         for (let atMs = 100; atMs < sent + 20_000; atMs += 100) {
           clock.schedule(atMs, () => {
             const current = held.current?.instance;
--- a/test/membership/target-probe.test.ts
+++ b/test/membership/target-probe.test.ts
@@ -6,7 +6,7 @@
 
 const { instanceId, load } = DEFAULT_TARGET_HEADERS;
 
-/** What a probe of a target with this health check finds. */
+/** Returns the result of a probe of a target with this health check. */
 async function probe(health: RequestListener) {
   const server = createServer(health);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/test/quota/quota.test.ts
+++ b/test/quota/quota.test.ts
@@ -32,12 +32,12 @@
   return new QuotaWorld(run).execute();
 }
 
-/** Most runs of any group in any window, as a part of the bound. */
+/** Maximum number of runs of any group in any window, as a fraction of the bound. */
 function worstPart({ groups }: QuotaResult): number {
   return Math.max(...groups.map((group) => group.worstPart));
 }
 
-/** Part of the requests that were refused though their groups were within their declared rates. */
+/** Fraction of requests that were refused although their groups were within their declared rates. */
 function wronglyRefusedPart(results: readonly QuotaResult[]): number {
   const groups = results.flatMap((result) => result.groups);
   const refused = groups.reduce((sum, { wronglyRefused }) => sum + wronglyRefused, 0);
@@ -63,18 +63,15 @@
     expect(Math.max(...parts)).to.be.greaterThan(1.5);
   });
 
-  /**
-   * After a loss of all power every request of a group with a rate was refused for 8 s: a leader that had begun empty let
-   * ingresses keep what they had, and these had begun empty as well. Settled by: 689 of 689 requests answered 429 in the
-   * seventh and eighth second after the processes were back.
-   */
+  // Guards against refusing every request until the leases have expired: after a power loss the leader knows no grants, and
+  // the ingresses hold none that they could keep.
   it('lets requests run again soon after a loss of all power, within the bound', () => {
     const results = runSeeds(CALM_SEEDS, {
       ...STEADY,
       durationMs: 16_000,
       powerLossAtMs: 6_000,
     });
-    // Without power 1.2 s of 16 s, and for a window more.
+    // All requests may be refused while the power is out, 1.2 s of 16 s, and for one window after.
     expect(wronglyRefusedPart(results)).to.be.below(0.42);
     expect(Math.max(...results.map(worstPart))).to.be.at.most(1);
   });
