--- a/src/membership/target-lease.ts
+++ b/src/membership/target-lease.ts
@@ -6,7 +6,7 @@
  *
  * | report                                                            | result                                      |
  * | ----------------------------------------------------------------- | ------------------------------------------- |
- * | of an incarnation that has deregistered or was not reached        | dropped                                     |
+ * | of one that deregistered or whose address another one serves      | dropped                                     |
  * | of one that refused connections, not newer than its last report   | dropped                                     |
  * | any, while no incarnation holds the lease                         | acquires the lease                          |
  * | of the holder, older than its last report                         | dropped                                     |
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -65,10 +65,10 @@
   private readonly now: () => number;
 
   constructor(private readonly options: IngressQuotaOptions) {
-    const { clock, onShort } = options;
+    const { clock, onShort: sendReport } = options;
     this.now = () => clock.now();
     this.createdAt = clock.now();
-    this.requestBatcher = new GrantRequestBatcher(clock, onShort);
+    this.requestBatcher = new GrantRequestBatcher(clock, sendReport);
   }
 
   /**
