--- a/src/control/change-history.ts
+++ b/src/control/change-history.ts
@@ -24,7 +24,7 @@
 
   record(change: ResourceChange): void {
     this.changes.push(change);
-    if (this.changes.length > MAX_CHANGES) this.forgetOldestRevision();
+    if (this.changes.length > MAX_CHANGES) this.evictOldestRevision();
   }
 
   clear(): void {
@@ -32,7 +32,7 @@
   }
 
   /** A revision may have many changes: either all of them are kept, or none. */
-  private forgetOldestRevision(): void {
+  private evictOldestRevision(): void {
     const oldest = this.changes[0]?.revision;
     const kept = this.changes.findIndex((change) => change.revision !== oldest);
     if (kept > 0) this.changes.splice(0, kept);
--- a/src/control/claim-view-keeper.ts
+++ b/src/control/claim-view-keeper.ts
@@ -15,7 +15,7 @@
 
 export class ClaimViewKeeper {
   /** Services whose next view is being written. */
-  private readonly underWay = new Set<string>();
+  private readonly pendingServices = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -29,19 +29,19 @@
   check(): void {
     if (this.log.status().role !== 'leader') return;
     for (const [service, candidates] of this.candidatesByService()) {
-      if (this.underWay.has(service)) continue;
+      if (this.pendingServices.has(service)) continue;
       const next = nextClaimView({
         service,
         current: this.currentView(service),
         candidates,
-        silentForMs: (id) => this.members.silentForMs(id, this.clock.now()),
+        silentForMs: (id) => this.members.sinceHeartbeatMs(id, this.clock.now()),
       });
       if (next !== undefined) void this.declare(next);
     }
   }
 
   private async declare(view: ClaimView): Promise<void> {
-    this.underWay.add(view.name);
+    this.pendingServices.add(view.name);
     const current = this.store.get({ kind: 'ClaimView', name: view.name });
     await this.log.propose({
       type: 'put',
@@ -52,7 +52,7 @@
       precondition: current?.version ?? 'absent',
     });
     // A refusal leaves the view as it was: the next check, 500 ms later, proposes it again, here or at another leader.
-    this.underWay.delete(view.name);
+    this.pendingServices.delete(view.name);
   }
 
   private currentView(service: string): ClaimView | undefined {
--- a/src/control/claim-view-planner.ts
+++ b/src/control/claim-view-planner.ts
@@ -21,9 +21,9 @@
 }
 
 /** A restarted node is back within this time, in milliseconds; then its place is kept. */
-export const GONE_AFTER_MS = 30_000;
+export const REMOVE_AFTER_MS = 30_000;
 /** The same where a majority is silent, in milliseconds: more likely control is cut off than all of them gone. */
-const MAJORITY_GONE_AFTER_MS = 10 * 60_000;
+const MAJORITY_REMOVE_AFTER_MS = 10 * 60_000;
 
 /** The next view; undefined when the current one stands. */
 export function nextClaimView(input: ClaimViewInput): ClaimView | undefined {
@@ -45,8 +45,8 @@
 function remainingMembers(input: ClaimViewInput, members: readonly ClaimMember[]): ClaimMember[] {
   const silentFor = (afterMs: number): ClaimMember[] =>
     members.filter(({ id }) => input.silentForMs(id) >= afterMs);
-  const isMajority = silentFor(GONE_AFTER_MS).length > members.length / 2;
-  const gone = silentFor(isMajority ? MAJORITY_GONE_AFTER_MS : GONE_AFTER_MS);
+  const isMajority = silentFor(REMOVE_AFTER_MS).length > members.length / 2;
+  const gone = silentFor(isMajority ? MAJORITY_REMOVE_AFTER_MS : REMOVE_AFTER_MS);
   return members.filter((member) => !gone.includes(member));
 }
 
--- a/src/control/declaration-api.ts
+++ b/src/control/declaration-api.ts
@@ -28,7 +28,7 @@
 const VERSION_TAG = /^"?(\d{1,15})"?$/;
 /** Longest body, in bytes: a set of a few thousand routes. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
-const UNKNOWN_HOLDER: AccessToken = { name: 'operator', role: 'write', tokenHash: '' };
+const ANONYMOUS_OPERATOR: AccessToken = { name: 'operator', role: 'write', tokenHash: '' };
 
 export class DeclarationApi {
   constructor(private readonly options: DeclarationApiOptions) {}
@@ -37,7 +37,7 @@
   async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
     const { tokens } = this.options;
     const holder =
-      tokens === undefined ? UNKNOWN_HOLDER : tokens.find(message.headers.authorization);
+      tokens === undefined ? ANONYMOUS_OPERATOR : tokens.find(message.headers.authorization);
     const wanted: AccessRole = message.method === 'GET' ? 'read' : 'write';
     if (holder === undefined) {
       writeProblem(response, apiProblem('unauthenticated', 'A known bearer token is needed.'));
@@ -60,7 +60,7 @@
         writeProblem(response, apiProblem('not-found', 'No set was declared yet.'));
         return;
       case 'unsure':
-        writeUnsure(response, outcome.refusal);
+        writeRefusalProblem(response, outcome.refusal);
     }
   }
 
@@ -119,11 +119,12 @@
         return;
       }
       case 'not-leader':
-        if (outcome.leaderOrigin === undefined) writeUnsure(response, { type: 'no-quorum' });
+        if (outcome.leaderOrigin === undefined)
+          writeRefusalProblem(response, { type: 'no-quorum' });
         else writeRedirect(response, outcome.leaderOrigin + (message.url ?? ''));
         return;
       case 'unknown':
-        writeUnsure(response, outcome.refusal);
+        writeRefusalProblem(response, outcome.refusal);
     }
   }
 }
@@ -145,6 +146,6 @@
 }
 
 /** A set may have been proposed before replication refused. */
-function writeUnsure(response: ServerResponse, refusal: LogRefusal): void {
+function writeRefusalProblem(response: ServerResponse, refusal: LogRefusal): void {
   writeProblem(response, refusalProblem(refusal, 'may-have-run'));
 }
--- a/src/control/declaration-history.ts
+++ b/src/control/declaration-history.ts
@@ -14,7 +14,7 @@
 }
 
 /** What would become of a set. */
-export type DeclarationJudgement =
+export type DeclarationCheck =
   /** It was accepted before. */
   | { readonly type: 'accepted-before'; readonly revision: number }
   /** It follows on the current one. */
@@ -23,7 +23,7 @@
   | { readonly type: 'conflict'; readonly currentVersion: number };
 
 /** Sets that are remembered. At 1,800 a day, more than ten days' worth. */
-const MAX_REMEMBERED = 20_000;
+const MAX_DECLARATIONS = 20_000;
 
 export class DeclarationHistory {
   private readonly accepted = new Map<number, AcceptedDeclaration>();
@@ -35,7 +35,7 @@
   }
 
   /** Judges a set with `version` on top of `baseVersion`. */
-  judge(version: number, baseVersion: number, digest: string): DeclarationJudgement {
+  check(version: number, baseVersion: number, digest: string): DeclarationCheck {
     const earlier = this.accepted.get(version);
     if (earlier?.digest === digest) return { type: 'accepted-before', revision: earlier.revision };
     if (baseVersion !== this.current || version <= this.current) {
@@ -48,7 +48,7 @@
   record(declaration: AcceptedDeclaration): void {
     this.accepted.set(declaration.version, declaration);
     this.current = declaration.version;
-    if (this.accepted.size <= MAX_REMEMBERED) return;
+    if (this.accepted.size <= MAX_DECLARATIONS) return;
     const [oldest] = this.accepted.keys();
     if (oldest !== undefined) this.accepted.delete(oldest);
   }
--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -60,12 +60,12 @@
     // Every resource has passed the schema above.
     const resources = document.resources as readonly SetResource[];
     const digest = digestOf(resources);
-    const judgement = store.declarations.judge(version, baseVersion, digest);
-    if (judgement.type === 'conflict') {
-      return { type: 'version-conflict', currentVersion: judgement.currentVersion };
+    const check = store.declarations.check(version, baseVersion, digest);
+    if (check.type === 'conflict') {
+      return { type: 'version-conflict', currentVersion: check.currentVersion };
     }
-    if (judgement.type === 'accepted-before') {
-      return { type: 'declared', version, revision: judgement.revision };
+    if (check.type === 'accepted-before') {
+      return { type: 'declared', version, revision: check.revision };
     }
     const difference = this.differenceFrom(resources);
     const at = this.options.wallClock();
--- a/src/control/follower-api.ts
+++ b/src/control/follower-api.ts
@@ -40,7 +40,7 @@
 /** Longest request, in bytes, and longest time for it to arrive, in milliseconds. */
 const BODY_LIMITS: BodyLimits = { bufferBytes: 64 * 1024, maxBytes: 64 * 1024, timeoutMs: 5_000 };
 /** Time between two checks of a held request that this replica still has a leader, in milliseconds. */
-const HEALTH_CHECK_INTERVAL_MS = 2_000;
+const LEADER_CHECK_INTERVAL_MS = 2_000;
 
 export class FollowerApi {
   private readonly packer: SyncPacker;
@@ -103,7 +103,7 @@
         writeStatus(response, HttpStatus.ServiceUnavailable);
         return;
       }
-      await notifier.wait(Math.min(holdUntil - clock.now(), HEALTH_CHECK_INTERVAL_MS));
+      await notifier.wait(Math.min(holdUntil - clock.now(), LEADER_CHECK_INTERVAL_MS));
     }
     writeMessage(response, this.packer.pack(request));
   }
--- a/src/control/member-table.ts
+++ b/src/control/member-table.ts
@@ -12,21 +12,21 @@
 /** A member as seen by this replica. */
 export interface Member extends Heartbeat {
   /** Monotonic milliseconds of this replica. */
-  readonly heardAt: number;
+  readonly seenAt: number;
 }
 
 /** An incarnation that counts as an earlier one of its member. */
-interface Returning {
+interface OlderIncarnation {
   readonly incarnation: number;
-  readonly heardAt: number;
+  readonly firstSeenAt: number;
 }
 
 /** Default of the lease, in milliseconds: five heartbeats at their default interval. */
 export const MEMBER_LEASE_MS = 10_000;
 /** When more than this fraction falls silent together, the replica suspects its own network. */
-const MASS_SILENCE_FRACTION = 0.3;
+const MASS_EXPIRY_FRACTION = 0.3;
 /** Members below which any number that falls silent together is taken to be gone. */
-const MIN_MEMBERS_FOR_MASS_SILENCE = 10;
+const MIN_MEMBERS_FOR_MASS_EXPIRY = 10;
 /** Heartbeats that were delayed arrive together; those of a process that runs come this far apart, in milliseconds. */
 const MIN_HEARTBEAT_GAP_MS = 300;
 
@@ -34,9 +34,9 @@
   private readonly members = new Map<string, Member>();
   private readonly endpoints = new EndpointList();
   /** Members that are gone, as they were last heard of. */
-  private readonly gone = new Map<string, Member>();
+  private readonly expired = new Map<string, Member>();
   /** Earlier incarnations that were heard while or after a newer one was known, and when first. */
-  private readonly returning = new Map<string, Returning>();
+  private readonly olderIncarnations = new Map<string, OlderIncarnation>();
   private leavingAddresses: ReadonlySet<string> = new Set();
   private readonly startedAt: number;
 
@@ -67,18 +67,18 @@
     isCurrent: boolean,
     controlOrigins: readonly string[] = [],
   ): HeartbeatReply {
-    const known = this.members.get(heartbeat.id) ?? this.gone.get(heartbeat.id);
+    const known = this.members.get(heartbeat.id) ?? this.expired.get(heartbeat.id);
     if (known !== undefined && heartbeat.incarnation < known.incarnation) {
-      if (now - known.heardAt < this.leaseMs) return { type: 'superseded' };
-      if (!this.isRunning(heartbeat, now))
+      if (now - known.seenAt < this.leaseMs) return { type: 'superseded' };
+      if (!this.isConfirmedRunning(heartbeat, now))
         return { type: 'ok', revision, isCurrent, controlOrigins };
     }
-    this.returning.delete(heartbeat.id);
+    this.olderIncarnations.delete(heartbeat.id);
     this.members.set(heartbeat.id, {
       ...heartbeat,
       crashNews: undefined,
       quota: undefined,
-      heardAt: now,
+      seenAt: now,
     });
     this.refreshEndpoint(heartbeat.id);
     return { type: 'ok', revision, isCurrent, controlOrigins };
@@ -89,12 +89,12 @@
    * would send calls to it; but clocks step, and a restarted process may count as earlier. It is taken if it is heard
    * again some time later.
    */
-  private isRunning({ id, incarnation }: Heartbeat, now: number): boolean {
-    const returning = this.returning.get(id);
-    if (returning?.incarnation === incarnation) {
-      return now - returning.heardAt >= MIN_HEARTBEAT_GAP_MS;
+  private isConfirmedRunning({ id, incarnation }: Heartbeat, now: number): boolean {
+    const older = this.olderIncarnations.get(id);
+    if (older?.incarnation === incarnation) {
+      return now - older.firstSeenAt >= MIN_HEARTBEAT_GAP_MS;
     }
-    this.returning.set(id, { incarnation, heardAt: now });
+    this.olderIncarnations.set(id, { incarnation, firstSeenAt: now });
     return false;
   }
 
@@ -109,21 +109,21 @@
 
   /** Drops members whose lease has run out, unless too many fell silent together. */
   expire(now: number): void {
-    const silent = [...this.members.values()].filter(
-      (member) => now - member.heardAt >= this.leaseMs,
+    const overdue = [...this.members.values()].filter(
+      (member) => now - member.seenAt >= this.leaseMs,
     );
-    const limit = this.members.size * MASS_SILENCE_FRACTION;
-    if (this.members.size >= MIN_MEMBERS_FOR_MASS_SILENCE && silent.length > limit) return;
-    for (const member of silent) {
+    const limit = this.members.size * MASS_EXPIRY_FRACTION;
+    if (this.members.size >= MIN_MEMBERS_FOR_MASS_EXPIRY && overdue.length > limit) return;
+    for (const member of overdue) {
       this.members.delete(member.id);
-      this.gone.set(member.id, member);
+      this.expired.set(member.id, member);
       this.endpoints.remove(member.id);
     }
   }
 
   /** Milliseconds since a member was last heard of, counted from this replica's start at least. */
-  silentForMs(id: string, now: number): number {
-    return now - (this.members.get(id)?.heardAt ?? this.gone.get(id)?.heardAt ?? this.startedAt);
+  sinceHeartbeatMs(id: string, now: number): number {
+    return now - (this.members.get(id)?.seenAt ?? this.expired.get(id)?.seenAt ?? this.startedAt);
   }
 
   /** Every member, ordered by id. */
--- a/src/control/quarantine-keeper.ts
+++ b/src/control/quarantine-keeper.ts
@@ -36,45 +36,45 @@
 
 export class QuarantineKeeper {
   /** Fingerprints whose change is being written. */
-  private readonly underWay = new Set<string>();
-  private known: readonly QuarantineResource[] = [];
+  private readonly pendingFingerprints = new Set<string>();
+  private quarantines: readonly QuarantineResource[] = [];
   /** Of the store, when its quarantines were read. */
-  private knownRevision = -1;
+  private loadedRevision = -1;
 
   constructor(private readonly options: QuarantineKeeperOptions) {}
 
   /** Looks at the evidence and the terms once. A replica that does not lead declares nothing. */
   check(): void {
     const { evidence, log } = this.options;
-    this.readKnown();
-    const { known } = this;
+    this.refreshQuarantines();
+    const { quarantines } = this;
     if (log.status().role !== 'leader') return;
-    for (const quarantine of known) {
-      if (this.isDue(quarantine)) this.endTerm(quarantine);
+    for (const quarantine of quarantines) {
+      if (this.isExpired(quarantine)) this.endTerm(quarantine);
       else if (evidence.blamesOnProbation(quarantine.name)) this.renew(quarantine);
     }
     for (const fingerprint of evidence.blamed()) this.begin(fingerprint);
   }
 
-  private readKnown(): void {
+  private refreshQuarantines(): void {
     const { store, evidence } = this.options;
-    if (store.revision === this.knownRevision) return;
-    this.knownRevision = store.revision;
-    this.known = store
+    if (store.revision === this.loadedRevision) return;
+    this.loadedRevision = store.revision;
+    this.quarantines = store
       .list()
       .map(({ resource }) => resource)
       .filter((resource) => resource.kind === 'Quarantine');
     evidence.adopt(
-      this.known.map(({ name, spec }) => ({ fingerprint: name, inForce: spec.inForce })),
+      this.quarantines.map(({ name, spec }) => ({ fingerprint: name, inForce: spec.inForce })),
     );
   }
 
   private begin(fingerprint: string): void {
     const { evidence, logger } = this.options;
-    const { known } = this;
-    if (this.underWay.has(fingerprint)) return;
-    if (known.some(({ name }) => name === fingerprint)) return;
-    if (known.length + this.underWay.size >= MAX_QUARANTINES) {
+    const { quarantines } = this;
+    if (this.pendingFingerprints.has(fingerprint)) return;
+    if (quarantines.some(({ name }) => name === fingerprint)) return;
+    if (quarantines.length + this.pendingFingerprints.size >= MAX_QUARANTINES) {
       logger.warn('A request crashes targets, and no more can be quarantined.', { fingerprint });
       return;
     }
@@ -84,7 +84,7 @@
   }
 
   private renew({ name, spec }: QuarantineResource): void {
-    if (this.underWay.has(name)) return;
+    if (this.pendingFingerprints.has(name)) return;
     const terms = spec.terms + 1;
     this.options.logger.warn('A request is quarantined again: a target has crashed under it.', {
       fingerprint: name,
@@ -93,18 +93,18 @@
     void this.put(name, terms);
   }
 
-  private isDue({ spec }: QuarantineResource): boolean {
+  private isExpired({ spec }: QuarantineResource): boolean {
     return this.options.wallClock() >= spec.until;
   }
 
   private endTerm({ name, spec }: QuarantineResource): void {
     const { wallClock, logger } = this.options;
-    if (this.underWay.has(name)) return;
+    if (this.pendingFingerprints.has(name)) return;
     logger.info('The quarantine of a request has ended.', { fingerprint: name, ...spec });
     if (spec.inForce) {
       const until = wallClock() + PROBATION_MS;
       void this.declare(quarantineOf(name, { ...spec, inForce: false, until }));
-    } else void this.forget(name);
+    } else void this.remove(name);
   }
 
   private async put(fingerprint: string, terms: number): Promise<void> {
@@ -117,7 +117,7 @@
     await this.propose(resource.name, { type: 'put', resource });
   }
 
-  private async forget(name: string): Promise<void> {
+  private async remove(name: string): Promise<void> {
     await this.propose(name, { type: 'delete', target: { kind: 'Quarantine', name } });
   }
 
@@ -128,7 +128,7 @@
       | { readonly type: 'delete'; readonly target: { kind: 'Quarantine'; name: string } },
   ): Promise<void> {
     const { log, store, wallClock } = this.options;
-    this.underWay.add(name);
+    this.pendingFingerprints.add(name);
     const current = store.get({ kind: 'Quarantine', name });
     const outcome = await log.propose({
       ...change,
@@ -137,7 +137,7 @@
       at: wallClock(),
       precondition: current?.version ?? 'absent',
     });
-    this.underWay.delete(name);
+    this.pendingFingerprints.delete(name);
     if (outcome.type === 'refused') {
       this.options.logger.warn('A quarantine was not written; it is tried again.', {
         fingerprint: name,
--- a/src/control/quota-keeper.ts
+++ b/src/control/quota-keeper.ts
@@ -20,7 +20,7 @@
   private readonly ledger: QuotaLedger;
   private groups = new GroupTable();
   /** Of the store, when its groups were read. */
-  private knownRevision = -1;
+  private loadedRevision = -1;
 
   /** @param startedAt monotonic milliseconds since which every grant is known here */
   constructor(
@@ -39,7 +39,7 @@
     { confirmedAgeMs }: Pick<LogStatus, 'confirmedAgeMs'>,
     now: number,
   ): QuotaGrants | undefined {
-    this.readGroups();
+    this.refreshGroups();
     const grants = this.ledger.onReport(id, report, now);
     const mayGrant = confirmedAgeMs !== undefined && confirmedAgeMs <= CONFIRMED_WITHIN_MS;
     return mayGrant ? grants : undefined;
@@ -51,10 +51,10 @@
     return rate === undefined ? undefined : handedOutInWindow(rate, this.rule);
   }
 
-  private readGroups(): void {
+  private refreshGroups(): void {
     const { store } = this;
-    if (store.revision === this.knownRevision) return;
-    this.knownRevision = store.revision;
+    if (store.revision === this.loadedRevision) return;
+    this.loadedRevision = store.revision;
     this.groups = new GroupTable();
     for (const { resource } of store.list()) {
       if (resource.kind === 'Group') this.groups.addResource(resource);
--- a/src/control/remembered-results.ts
+++ b/src/control/remembered-results.ts
@@ -6,7 +6,7 @@
 import type { ResourceCommand, ResourceResult } from './commands.js';
 
 /** An answer as a snapshot holds it. */
-export interface RememberedResult {
+export interface IdempotencyRecord {
   readonly changeId: string;
   /** Tells a resend from another change that uses the same id. */
   readonly fingerprint: number;
@@ -14,13 +14,13 @@
 }
 
 /** Answers that are remembered. At 1,800 changes a day, more than five days' worth. */
-const MAX_REMEMBERED = 10_000;
+const MAX_RECORDS = 10_000;
 
-export class RememberedResults {
-  private byChangeId = new Map<string, RememberedResult>();
+export class IdempotencyRecords {
+  private byChangeId = new Map<string, IdempotencyRecord>();
 
   /** The first answer to a change that is sent again; undefined for a change id that is new. */
-  answerTo(command: ResourceCommand): ResourceResult | undefined {
+  resultFor(command: ResourceCommand): ResourceResult | undefined {
     const earlier = this.byChangeId.get(command.changeId);
     if (earlier === undefined) return undefined;
     if (earlier.fingerprint === fingerprintOf(command)) return earlier.result;
@@ -31,18 +31,18 @@
   record(command: ResourceCommand, result: ResourceResult): void {
     const { changeId } = command;
     this.byChangeId.set(changeId, { changeId, fingerprint: fingerprintOf(command), result });
-    if (this.byChangeId.size <= MAX_REMEMBERED) return;
+    if (this.byChangeId.size <= MAX_RECORDS) return;
     const [oldest] = this.byChangeId.keys();
     if (oldest !== undefined) this.byChangeId.delete(oldest);
   }
 
   /** Every answer, oldest first. */
-  list(): RememberedResult[] {
+  list(): IdempotencyRecord[] {
     return [...this.byChangeId.values()];
   }
 
   /** Replaces the answers by those of a snapshot. */
-  restore(results: readonly RememberedResult[]): void {
+  restore(results: readonly IdempotencyRecord[]): void {
     this.byChangeId = new Map(results.map((entry) => [entry.changeId, entry]));
   }
 }
--- a/src/control/replication-link.ts
+++ b/src/control/replication-link.ts
@@ -20,7 +20,7 @@
   timeoutMs: 10_000,
 };
 /** Messages to one replica that may be under way; a replica that does not answer gets no more. */
-const MAX_UNDER_WAY = 16;
+const MAX_IN_FLIGHT = 16;
 
 interface Envelope {
   /** Identity of the replica that is meant; empty for whoever runs there. */
@@ -30,7 +30,7 @@
 
 /** Sends messages to replicas over HTTP. */
 export class ReplicationSender implements RaftTransport {
-  private readonly underWay = new Map<string, number>();
+  private readonly inFlight = new Map<string, number>();
 
   constructor(
     private readonly client: ControlClient,
@@ -38,14 +38,14 @@
   ) {}
 
   send(to: MessageTarget, message: RaftMessage): void {
-    const underWay = this.underWay.get(to.origin) ?? 0;
-    if (underWay >= MAX_UNDER_WAY) return;
-    this.underWay.set(to.origin, underWay + 1);
+    const inFlight = this.inFlight.get(to.origin) ?? 0;
+    if (inFlight >= MAX_IN_FLIGHT) return;
+    this.inFlight.set(to.origin, inFlight + 1);
     const envelope: Envelope = { to: to.identity, message };
     void this.client
       .send(to.origin, REPLICATION_PATH, envelope, { timeoutMs: this.timeoutMs })
       .then(() => {
-        this.underWay.set(to.origin, this.underWay.get(to.origin)! - 1);
+        this.inFlight.set(to.origin, this.inFlight.get(to.origin)! - 1);
       });
   }
 }
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -81,7 +81,7 @@
   }
 
   private async list(request: ApiRequest): Promise<void> {
-    if (!(await this.passBarrier(request))) return;
+    if (!(await this.awaitReadBarrier(request))) return;
     const kind = request.url.searchParams.get('kind');
     const items = this.options.store
       .list()
@@ -90,7 +90,7 @@
   }
 
   private async get(request: ApiRequest, id: ResourceId): Promise<void> {
-    if (!(await this.passBarrier(request))) return;
+    if (!(await this.awaitReadBarrier(request))) return;
     const stored = this.options.store.get(id);
     if (stored === undefined) {
       const problem = apiProblem('not-found', `There is no ${id.kind} '${id.name}'.`);
@@ -172,7 +172,7 @@
   }
 
   private async preview(request: ApiRequest, command: ResourceCommand): Promise<void> {
-    if (!(await this.passBarrier(request))) return;
+    if (!(await this.awaitReadBarrier(request))) return;
     writeResult(request.response, this.options.store.preview(command), true);
   }
 
@@ -193,7 +193,7 @@
   }
 
   /** Waits until the state is current; answers and returns false when it cannot be made so. */
-  private async passBarrier(request: ApiRequest): Promise<boolean> {
+  private async awaitReadBarrier(request: ApiRequest): Promise<boolean> {
     const refusal = await this.options.log.readBarrier();
     if (refusal === undefined) return true;
     writeRefusal(request.response, refusal, pathOf(request), 'not-run');
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -25,12 +25,12 @@
   ResourceResult,
 } from './commands.js';
 import { DeclarationHistory } from './declaration-history.js';
-import { RememberedResults } from './remembered-results.js';
+import { IdempotencyRecords } from './remembered-results.js';
 import type { StoreSnapshot } from './store-snapshot.js';
 
 export class ResourceStore {
   private readonly resources = new Map<string, StoredResource>();
-  private readonly remembered = new RememberedResults();
+  private readonly idempotencyRecords = new IdempotencyRecords();
   private readonly history = new ChangeHistory();
   private currentRevision = 0;
   /** The declared sets that were accepted. */
@@ -68,12 +68,12 @@
   /** Applies a command. The same change id gets the first answer again. */
   apply(command: Command): CommandResult {
     if (command.type === 'declare') return this.declare(command);
-    const earlier = this.remembered.answerTo(command);
+    const earlier = this.idempotencyRecords.resultFor(command);
     if (earlier !== undefined) return earlier;
     const revision = this.currentRevision + 1;
     const result = this.evaluate(command, revision);
     if (result.type === 'accepted') this.commit(command, revision);
-    this.remembered.record(command, result);
+    this.idempotencyRecords.record(command, result);
     return result;
   }
 
@@ -81,7 +81,7 @@
     return {
       revision: this.currentRevision,
       resources: this.list(),
-      remembered: this.remembered.list(),
+      remembered: this.idempotencyRecords.list(),
       declarations: this.declarations.list(),
     };
   }
@@ -92,7 +92,7 @@
     for (const stored of snapshot.resources) {
       this.resources.set(resourceKey(resourceIdOf(stored.resource)), stored);
     }
-    this.remembered.restore(snapshot.remembered);
+    this.idempotencyRecords.restore(snapshot.remembered);
     this.history.clear();
     this.currentRevision = snapshot.revision;
     this.declarations.restore(snapshot.declarations ?? []);
@@ -100,12 +100,12 @@
 
   private declare(command: DeclareCommand): DeclareResult {
     const { version, baseVersion, digest } = command;
-    const judgement = this.declarations.judge(version, baseVersion, digest);
-    if (judgement.type === 'conflict') {
-      return { type: 'version-conflict', currentVersion: judgement.currentVersion };
+    const check = this.declarations.check(version, baseVersion, digest);
+    if (check.type === 'conflict') {
+      return { type: 'version-conflict', currentVersion: check.currentVersion };
     }
-    if (judgement.type === 'accepted-before') {
-      return { type: 'declared', version, revision: judgement.revision };
+    if (check.type === 'accepted-before') {
+      return { type: 'declared', version, revision: check.revision };
     }
     this.commitSet(command);
     const revision = this.currentRevision;
--- a/src/control/store-snapshot.ts
+++ b/src/control/store-snapshot.ts
@@ -1,13 +1,13 @@
 /** The stored form of the replicated state: the `data` of a snapshot on disk and between replicas. Types alone. */
 import type { StoredResource } from '../policy/stored-resource.js';
 import type { AcceptedDeclaration } from './declaration-history.js';
-import type { RememberedResult } from './remembered-results.js';
+import type { IdempotencyRecord } from './remembered-results.js';
 
 /** Everything that a snapshot holds. */
 export interface StoreSnapshot {
   readonly revision: number;
   readonly resources: readonly StoredResource[];
-  readonly remembered: readonly RememberedResult[];
+  readonly remembered: readonly IdempotencyRecord[];
   /** Missing in snapshots of versions without declared sets. */
   readonly declarations?: readonly AcceptedDeclaration[];
 }
--- a/src/control/sync-packer.ts
+++ b/src/control/sync-packer.ts
@@ -11,32 +11,32 @@
 import type { SyncResponder } from './sync-responder.js';
 
 /** Revisions of followers for which the packed news are kept: most are at the newest one or two. */
-const MAX_KEPT = 8;
+const MAX_CACHED_REVISIONS = 8;
 
 export class SyncPacker {
   /** Packed news by the follower's revision. */
-  private readonly packed = new Map<number, PackedConfiguration>();
+  private readonly cache = new Map<number, PackedConfiguration>();
   /** Revision that the packed news lead to. */
-  private packedRevision = -1;
+  private cachedRevision = -1;
 
   constructor(private readonly responder: SyncResponder) {}
 
   /** Everything that the follower does not have. */
   pack(request: SyncRequest): PackedSync {
     const configuration = this.configuration(request);
-    return { configuration, ...this.responder.endpointNews(request) };
+    return { configuration, ...this.responder.endpointUpdate(request) };
   }
 
   private configuration(request: SyncRequest): PackedConfiguration {
     const { revision } = this.responder;
-    if (revision !== this.packedRevision) this.packed.clear();
-    this.packedRevision = revision;
-    const kept = this.packed.get(request.revision);
-    if (kept !== undefined) return kept;
-    const packed = packConfiguration(this.responder.configurationNews(request));
-    this.packed.set(request.revision, packed);
-    const [oldest] = this.packed.keys();
-    if (this.packed.size > MAX_KEPT && oldest !== undefined) this.packed.delete(oldest);
+    if (revision !== this.cachedRevision) this.cache.clear();
+    this.cachedRevision = revision;
+    const cached = this.cache.get(request.revision);
+    if (cached !== undefined) return cached;
+    const packed = packConfiguration(this.responder.configurationUpdate(request));
+    this.cache.set(request.revision, packed);
+    const [oldest] = this.cache.keys();
+    if (this.cache.size > MAX_CACHED_REVISIONS && oldest !== undefined) this.cache.delete(oldest);
     return packed;
   }
 }
--- a/src/control/sync-responder.ts
+++ b/src/control/sync-responder.ts
@@ -42,7 +42,7 @@
     const { store, members, sourceId } = this;
     if (store.revision > request.revision) return true;
     if (request.endpointSource === sourceId) {
-      return members.endpointVersion !== request.endpointVersion || this.hasSuspectNews(request);
+      return members.endpointVersion !== request.endpointVersion || this.hasSuspectUpdate(request);
     }
     return this.mayListEndpoints(request);
   }
@@ -56,13 +56,13 @@
     return request.endpointSource === '' || members.isComplete(clock.now());
   }
 
-  private hasSuspectNews({ suspectVersion }: SyncRequest): boolean {
+  private hasSuspectUpdate({ suspectVersion }: SyncRequest): boolean {
     return suspectVersion !== undefined && suspectVersion !== this.evidence.suspectVersion;
   }
 
   /** Everything that the follower does not have. */
   buildResponse(request: SyncRequest): SyncResponse {
-    return { ...this.configurationNews(request), ...this.endpointNews(request) };
+    return { ...this.configurationUpdate(request), ...this.endpointUpdate(request) };
   }
 
   /** Revision of the configuration here. */
@@ -71,7 +71,7 @@
   }
 
   /** What the follower does not have of the configuration. */
-  configurationNews(request: SyncRequest): ConfigurationNews {
+  configurationUpdate(request: SyncRequest): ConfigurationNews {
     const { store } = this;
     const { revision } = store;
     if (request.revision >= revision) {
@@ -84,20 +84,21 @@
   }
 
   /** What the follower does not have of the endpoints. */
-  endpointNews(request: SyncRequest): EndpointNews {
+  endpointUpdate(request: SyncRequest): EndpointNews {
     const { members, sourceId, evidence } = this;
-    const news = {
+    const update = {
       endpointSource: sourceId,
       endpointVersion: members.endpointVersion,
       suspects: evidence.suspectList(),
     };
     if (request.endpointSource === sourceId) {
       const endpointChanges = members.endpointChangesSince(request.endpointVersion);
-      if (endpointChanges !== undefined) return { ...news, endpoints: undefined, endpointChanges };
+      if (endpointChanges !== undefined)
+        return { ...update, endpoints: undefined, endpointChanges };
     } else if (!this.mayListEndpoints(request)) {
       const { endpointSource, endpointVersion } = request;
       return { endpointSource, endpointVersion, endpoints: undefined, endpointChanges: [] };
     }
-    return { ...news, endpoints: members.endpointList(), endpointChanges: [] };
+    return { ...update, endpoints: members.endpointList(), endpointChanges: [] };
   }
 }
--- a/src/control/watch-streams.ts
+++ b/src/control/watch-streams.ts
@@ -11,7 +11,7 @@
 
 export class WatchStreams {
   private closed = false;
-  private readonly open_ = new Set<ServerResponse>();
+  private readonly openStreams = new Set<ServerResponse>();
 
   constructor(
     private readonly store: ResourceStore,
@@ -25,21 +25,21 @@
       'Content-Type': 'application/x-ndjson',
       'Cache-Control': 'no-store',
     });
-    this.open_.add(response);
-    response.once('close', () => this.open_.delete(response));
+    this.openStreams.add(response);
+    response.once('close', () => this.openStreams.delete(response));
     void this.follow(response, from);
   }
 
   /** Ends every stream; clients resume at another replica. */
   close(): void {
     this.closed = true;
-    for (const response of this.open_) response.end();
+    for (const response of this.openStreams) response.end();
     this.notifier.notify();
   }
 
   private async follow(response: ServerResponse, from: number): Promise<void> {
     let revision = from;
-    let announcedInForce = -1;
+    let lastInForceRevision = -1;
     while (!this.closed && !response.destroyed) {
       const changes = this.store.changesSince(revision);
       if (changes === undefined) {
@@ -50,8 +50,8 @@
       for (const change of changes) writeEvent(response, { type: 'change', change });
       revision = changes.at(-1)?.revision ?? revision;
       const inForceRevision = this.inForceRevision();
-      if (changes.length === 0 || inForceRevision !== announcedInForce) {
-        announcedInForce = inForceRevision;
+      if (changes.length === 0 || inForceRevision !== lastInForceRevision) {
+        lastInForceRevision = inForceRevision;
         writeEvent(response, { type: 'bookmark', revision, inForceRevision });
       }
       if (response.writableLength > MAX_UNREAD_BYTES) {
--- a/test/control/member-table.test.ts
+++ b/test/control/member-table.test.ts
@@ -29,9 +29,9 @@
   function table() {
     const clock = new VirtualClock();
     const members = new MemberTable(clock.now(), LEASE_MS);
-    const hear = (beat: Heartbeat) => members.onHeartbeat(beat, clock.now(), 1, true);
+    const receive = (beat: Heartbeat) => members.onHeartbeat(beat, clock.now(), 1, true);
     const listed = (): number | undefined => members.endpointList()[0]?.incarnation;
-    return { clock, members, hear, listed };
+    return { clock, members, receive, listed };
   }
 
   it('are not replaced by late heartbeats of an incarnation that has crashed', () => {
@@ -45,7 +45,7 @@
     );
     fc.assert(
       fc.property(delays, services, fc.integer({ min: 2, max: 3 }), (delaysMs, names, count) => {
-        const { clock, hear, listed } = table();
+        const { clock, receive, listed } = table();
         let startsAt = 0;
         for (let each = 1; each <= count; each += 1) {
           const isNewest = each === count;
@@ -54,7 +54,7 @@
             const delayMs = isNewest ? 0 : delaysMs[(each - 1) * HEARTBEATS + beat]!;
             const name = names[each - 1]!;
             clock.schedule(startsAt + beat * HEARTBEAT_MS + delayMs, () => {
-              hear(heartbeat(each, name));
+              receive(heartbeat(each, name));
             });
           }
           if (!isNewest) startsAt += HEARTBEATS * HEARTBEAT_MS;
@@ -70,27 +70,27 @@
   });
 
   it('do not come back by one late heartbeat, or by several that arrive together', () => {
-    const { clock, members, hear, listed } = table();
-    hear(heartbeat(2));
+    const { clock, members, receive, listed } = table();
+    receive(heartbeat(2));
     clock.advance(LEASE_MS);
     members.expire(clock.now());
-    for (let beat = 0; beat < HEARTBEATS; beat += 1) hear(heartbeat(1));
+    for (let beat = 0; beat < HEARTBEATS; beat += 1) receive(heartbeat(1));
     expect(listed()).to.equal(undefined);
   });
 
   it('are taken in though a clock has stepped back before their restart', () => {
-    const { clock, hear, listed } = table();
-    hear(heartbeat(2));
+    const { clock, receive, listed } = table();
+    receive(heartbeat(2));
     clock.advance(LEASE_MS);
-    expect(hear(heartbeat(1)).type).to.equal('ok');
+    expect(receive(heartbeat(1)).type).to.equal('ok');
     clock.advance(HEARTBEAT_MS);
-    hear(heartbeat(1));
+    receive(heartbeat(1));
     expect(listed()).to.equal(1);
   });
 
   it('are told at once while a newer incarnation is heard', () => {
-    const { hear } = table();
-    hear(heartbeat(2));
-    expect(hear(heartbeat(1)).type).to.equal('superseded');
+    const { receive } = table();
+    receive(heartbeat(2));
+    expect(receive(heartbeat(1)).type).to.equal('superseded');
   });
 });
--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-keeper.test.ts
@@ -10,7 +10,7 @@
 
 const MINUTE_MS = 60_000;
 const CHECK_MS = 1_000;
-const BAD = '0123456789abcdef0123-01234567';
+const FINGERPRINT = '0123456789abcdef0123-01234567';
 
 /** A log of one replica that applies at once, as long as it has a quorum. */
 class TestLog {
@@ -59,31 +59,31 @@
   }
 
   /** Lets time pass, with a look of the keeper at its end, and what it writes. */
-  async function pass(durationMs: number): Promise<void> {
+  async function advance(durationMs: number): Promise<void> {
     clock.advance(durationMs);
-    for (let look = 0; look < 3; look += 1) {
+    for (let round = 0; round < 3; round += 1) {
       keeper.check();
       for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
     }
   }
 
-  function spec(name = BAD): QuarantineResource['spec'] | undefined {
+  function spec(name = FINGERPRINT): QuarantineResource['spec'] | undefined {
     const resource = store.get({ kind: 'Quarantine', name })?.resource;
     return resource?.kind === 'Quarantine' ? resource.spec : undefined;
   }
 
   async function quarantine(): Promise<void> {
-    for (let each = 0; each < 3; each += 1) crash(BAD);
-    await pass(CHECK_MS);
+    for (let each = 0; each < 3; each += 1) crash(FINGERPRINT);
+    await advance(CHECK_MS);
   }
 
   it('writes a quarantine of ten minutes for a request under three crashes', async () => {
-    crash(BAD);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()).to.equal(undefined);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()).to.deep.equal({
       inForce: true,
       until: clock.now() + 10 * MINUTE_MS,
@@ -96,7 +96,7 @@
     await quarantine();
     expect(spec()).to.equal(undefined);
     log.hasQuorum = true;
-    await pass(MINUTE_MS);
+    await advance(MINUTE_MS);
     expect(spec()?.inForce).to.equal(true);
   });
 
@@ -113,11 +113,11 @@
    */
   it('lets a request run again after its time, until one more crash under it', async () => {
     await quarantine();
-    await pass(10 * MINUTE_MS);
-    await pass(CHECK_MS);
+    await advance(10 * MINUTE_MS);
+    await advance(CHECK_MS);
     expect(spec()?.inForce, 'after its time').to.equal(false);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()?.inForce, 'after one more crash').to.equal(true);
     expect(spec()?.terms).to.equal(2);
   });
@@ -126,7 +126,7 @@
     for (let each = 0; each < 300; each += 1) {
       const name = `${String(each).padStart(20, '0')}-01234567`;
       for (let crashed = 0; crashed < 3; crashed += 1) crash(name);
-      await pass(CHECK_MS);
+      await advance(CHECK_MS);
     }
     expect(store.list()).to.have.length(256);
   });
