--- a/src/control/access-tokens.ts
+++ b/src/control/access-tokens.ts
@@ -1,18 +1,18 @@
 /**
- * Bearer tokens of operators and their roles: decides who asks, and nothing else. Settings hold only the tokens' SHA-256 hashes,
- * so a token itself stands in no file and no log line of control.
+ * Authenticates operators by bearer token and gives their role. Settings hold only SHA-256 hashes, so tokens do not appear in
+ * files or logs.
  */
 import { hash } from 'node:crypto';
 
-/** What a token allows: `read` to look, `write` to look and change. */
+/** Permission of a token; `write` includes `read`. */
 export type AccessRole = 'read' | 'write';
 
-/** A token as declared in the settings of control. */
+/** A token entry in the settings of control. */
 export interface AccessToken {
-  /** Name of the holder; recorded with every change. */
+  /** Name of the token holder, recorded as the actor of every change. */
   readonly name: string;
   readonly role: AccessRole;
-  /** SHA-256 of the token, hexadecimal. */
+  /** SHA-256 hash of the token, in hexadecimal. */
   readonly tokenHash: string;
 }
 
@@ -25,7 +25,7 @@
     this.byHash = new Map(tokens.map((token) => [token.tokenHash, token]));
   }
 
-  /** The holder of the token in an `Authorization` header, or undefined. */
+  /** Returns the entry of the token in an `Authorization` header, or undefined for a missing or unknown token. */
   find(authorization: string | undefined): AccessToken | undefined {
     const presented = BEARER.exec(authorization ?? '')?.[1];
     if (presented === undefined) return undefined;
--- a/src/control/change-answer.ts
+++ b/src/control/change-answer.ts
@@ -1,6 +1,6 @@
 /**
- * The answers to changes and reads: results of the replicated store, and refusals by replication. A refusal has a verdict:
- * whether the change may still take effect.
+ * Writes HTTP responses for changes and reads: results of the replicated store, and refusals by replication. A refusal carries a
+ * verdict that says whether the change may still take effect.
  */
 import type { ServerResponse } from 'node:http';
 import type { Verdict } from '../common/verdict.js';
@@ -11,12 +11,12 @@
 import type { ResourceResult } from './commands.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** The entity tag of a resource at `version`. */
+/** Builds the `ETag` header of a resource at `version`. */
 export function entityTag(version: number): Record<string, string> {
   return { ETag: `"${version}"` };
 }
 
-/** Answers with the result of a change, or of its preview. */
+/** Writes the result of a change or, with `dryRun`, of its preview. */
 export function writeResult(
   response: ServerResponse,
   result: ResourceResult,
@@ -37,9 +37,9 @@
 }
 
 /**
- * Answers that replication refused: points to the leader where one is known.
- * @param path path and query of the request, for the leader
- * @param verdict of a refusal other than `not-leader`, with which nothing was done
+ * Writes a refusal by replication; redirects to the leader when it is known.
+ * @param path path and query of the request, appended to the leader's origin
+ * @param verdict verdict of any refusal other than `not-leader`, which is always `not-run`
  */
 export function writeRefusal(
   response: ServerResponse,
@@ -52,7 +52,7 @@
   else writeProblem(response, refusalProblem(refusal, 'not-run'));
 }
 
-/** The problem that says why replication refused. */
+/** Builds the problem response for a refusal by replication. */
 export function refusalProblem({ type }: LogRefusal, verdict: Verdict): ApiProblem {
   if (type === 'storage-failed') {
     const detail = 'The disk of this replica failed; it accepts nothing.';
--- a/src/control/change-history.ts
+++ b/src/control/change-history.ts
@@ -1,22 +1,22 @@
 /**
- * The latest accepted changes at one replica, for followers and watchers that resume from a revision. In memory alone: after
- * a start or a snapshot from the leader it is empty, and whoever is behind gets every resource instead.
+ * Recently accepted changes of one replica, so that followers and watchers can resume from a revision. Kept in memory only: after
+ * a restart or a snapshot from the leader, clients that are behind receive a full list instead.
  */
 import type { ResourceChange } from '../policy/stored-resource.js';
 
-/** Changes kept. At 1,800 changes a day, about a day's worth. */
+/** Maximum number of changes kept; bounds memory. */
 const MAX_CHANGES = 2_000;
 
 export class ChangeHistory {
   private changes: ResourceChange[] = [];
 
-  /** Oldest revision from which {@link since} can resume, where the store stands at `current`. */
+  /** Oldest revision from which {@link since} can resume when the store is at revision `current`. */
   oldestResumable(current: number): number {
     const first = this.changes[0];
     return first === undefined ? current : first.revision - 1;
   }
 
-  /** The changes after `revision` in order; undefined when they are no longer all kept. */
+  /** Changes after `revision` in order; undefined when some of them were evicted or `revision` is in the future. */
   since(revision: number, current: number): ResourceChange[] | undefined {
     if (revision < this.oldestResumable(current) || revision > current) return undefined;
     return this.changes.filter((change) => change.revision > revision);
@@ -31,7 +31,7 @@
     this.changes = [];
   }
 
-  /** A revision may have many changes: either all of them are kept, or none. */
+  /** Evicts all changes of the oldest revision together, so that no revision is kept in part. */
   private evictOldestRevision(): void {
     const oldest = this.changes[0]?.revision;
     const kept = this.changes.findIndex((change) => change.revision !== oldest);
--- a/src/control/change-notifier.ts
+++ b/src/control/change-notifier.ts
@@ -1,6 +1,6 @@
 /**
- * Wakes requests that wait for a change of configuration, endpoints or suspects: watches and long polls. Owns the requests that
- * wait, in memory; each looks itself whether the change concerns it.
+ * Wakes watches and long polls when configuration, endpoints or suspects change. Waiters get no details of the change and check for
+ * themselves.
  */
 import type { Clock } from '../common/clock.js';
 
@@ -9,12 +9,12 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Number of requests that wait now. */
+  /** Number of requests currently waiting. */
   get waiting(): number {
     return this.waiters.size;
   }
 
-  /** Wakes everyone that waits. */
+  /** Wakes all waiting requests. */
   notify(): void {
     const waiters = this.waiters;
     this.waiters = new Set();
--- a/src/control/change-request.ts
+++ b/src/control/change-request.ts
@@ -1,7 +1,4 @@
-/**
- * What an operator's request to the resource API asks for: the resource that its path names, and the change that its
- * headers describe. Pure.
- */
+/** Parses requests to the resource API: the resource named by the path, and the precondition and change id in the headers. */
 import { randomUUID } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
 import { RESOURCE_KINDS, type ResourceKind } from '../policy/resource-schema.js';
@@ -10,15 +7,15 @@
 
 const RESOURCE_PATH = /^\/v1\/resources\/([A-Za-z]+)\/([a-z0-9-]+)$/;
 const ENTITY_TAG = /^"(\d+)"$/;
-/** Longest change id, in characters: each is kept with its answer. */
+/** Maximum length of a change id in characters; ids are stored with their results. */
 const MAX_CHANGE_ID_LENGTH = 128;
 
-/** What the headers of a change say, or what is wrong with them. */
+/** Parsed headers of a change, or the reason why they are invalid. */
 export type ChangeHeaders =
   | { readonly type: 'read'; readonly changeId: string; readonly precondition: Precondition }
   | { readonly type: 'invalid'; readonly detail: string };
 
-/** The resource that a path names; undefined when it names none. */
+/** Parses the resource id from a path; undefined when the path names no resource. */
 export function resourceIdFromPath(path: string): ResourceId | undefined {
   const match = RESOURCE_PATH.exec(path);
   const kind = match?.[1] as ResourceKind | undefined;
@@ -27,7 +24,7 @@
   return { kind, name };
 }
 
-/** Reads `If-Match`, `If-None-Match` and `Idempotency-Key`; a change without an id gets one of its own. */
+/** Parses `If-Match`, `If-None-Match` and `Idempotency-Key`; generates a change id when the request has none. */
 export function readChangeHeaders(headers: IncomingHttpHeaders): ChangeHeaders {
   const precondition = readPrecondition(headers['if-match'], headers['if-none-match']);
   const changeId = headers['idempotency-key'] ?? randomUUID();
@@ -42,7 +39,7 @@
   return { type: 'read', changeId, precondition };
 }
 
-/** Reads the conditional headers; undefined when they cannot be understood. */
+/** Parses the conditional headers; undefined when they are malformed. */
 function readPrecondition(
   ifMatch: string | undefined,
   ifNoneMatch: string | undefined,
--- a/src/control/claim-view-keeper.ts
+++ b/src/control/claim-view-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * On the leader: declares the views of the nodes that keep claims, as membership changes. `claim-view-planner.ts` decides which
- * view is next; this module proposes it as a resource of the store. Owns the services whose view is being written.
+ * Runs on the leader: proposes a new `ClaimView` resource for a service when the membership of the nodes that hold its claims
+ * changes. {@link nextClaimView} computes the view.
  */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
@@ -10,11 +10,11 @@
 import type { Member, MemberTable } from './member-table.js';
 import type { ResourceStore } from './resource-store.js';
 
-/** Recorded as the author of changes that control makes itself. */
+/** Actor recorded for changes that control makes itself. */
 const ACTOR = 'shoredoor';
 
 export class ClaimViewKeeper {
-  /** Services whose next view is being written. */
+  /** Services with a proposal in flight. */
   private readonly pendingServices = new Set<string>();
 
   constructor(
@@ -25,7 +25,7 @@
     private readonly wallClock: () => number,
   ) {}
 
-  /** Looks at every service once. Does nothing on a replica that does not lead. */
+  /** Checks every service once. Does nothing unless this replica is the leader. */
   check(): void {
     if (this.log.status().role !== 'leader') return;
     for (const [service, candidates] of this.candidatesByService()) {
@@ -51,7 +51,7 @@
       at: this.wallClock(),
       precondition: current?.version ?? 'absent',
     });
-    // A refusal leaves the view as it was: the next check, 500 ms later, proposes it again, here or at another leader.
+    // A refused proposal leaves the view unchanged; the next check retries, here or on a new leader.
     this.pendingServices.delete(view.name);
   }
 
--- a/src/control/claim-view-planner.ts
+++ b/src/control/claim-view-planner.ts
@@ -1,31 +1,31 @@
 /**
- * When control declares a new view of the nodes that keep a service's claims. Views follow one
- * another only after the last was taken over, so a claim is never more than one view away. Pure.
+ * Computes the next view of the nodes that hold a service's claims. A new view is declared only after the members have
+ * taken over the current one, so a claim is always in the current or the previous view.
  */
 import type { ClaimMember, ClaimView } from '../dedup/claim-view.js';
 
-/** A node of the service as membership sees it. */
+/** A node of the service, as recorded in the member table. */
 export interface ClaimCandidate extends ClaimMember {
   readonly isLeaving: boolean;
-  /** Epoch that the node has taken over in full. */
+  /** Latest epoch whose claims the node has taken over completely. */
   readonly settledEpoch: number;
 }
 
-/** What a decision depends on. */
+/** Input of {@link nextClaimView}. */
 export interface ClaimViewInput {
   readonly service: string;
   readonly current: ClaimView | undefined;
   readonly candidates: readonly ClaimCandidate[];
-  /** Milliseconds since the node was last heard of; from the start of this replica at least. */
+  /** Milliseconds since the node's last heartbeat, or since the start of this replica if it has sent none. */
   readonly silentForMs: (nodeId: string) => number;
 }
 
-/** A restarted node is back within this time, in milliseconds; then its place is kept. */
+/** Time without heartbeats after which a node is removed, in milliseconds; longer than a restart takes. */
 export const REMOVE_AFTER_MS = 30_000;
-/** The same where a majority is silent, in milliseconds: more likely control is cut off than all of them gone. */
+/** The same when a majority sends no heartbeats, in milliseconds: control itself is then likely partitioned. */
 const MAJORITY_REMOVE_AFTER_MS = 10 * 60_000;
 
-/** The next view; undefined when the current one stands. */
+/** Returns the next view; undefined when the current one remains valid or is not yet taken over. */
 export function nextClaimView(input: ClaimViewInput): ClaimView | undefined {
   const { service, current, candidates } = input;
   const usable = candidates.filter((candidate) => !candidate.isLeaving);
@@ -41,7 +41,7 @@
   return viewOf(service, current.spec.epoch + 1, next, current.spec.members);
 }
 
-/** Where a majority fell silent, control itself may be cut off: it waits longer. */
+/** Members that have sent heartbeats recently enough to stay in the view. */
 function remainingMembers(input: ClaimViewInput, members: readonly ClaimMember[]): ClaimMember[] {
   const silentFor = (afterMs: number): ClaimMember[] =>
     members.filter(({ id }) => input.silentForMs(id) >= afterMs);
@@ -65,7 +65,7 @@
   return { id, zone, incarnation };
 }
 
-/** Whether every member that can be heard has taken the view over. */
+/** Whether every member that sends heartbeats has taken over the view. */
 function isTakenOver(view: ClaimView, candidates: readonly ClaimCandidate[]): boolean {
   const { epoch, members } = view.spec;
   const heard = candidates.filter(({ id }) => members.some((member) => member.id === id));
--- a/src/control/commands.ts
+++ b/src/control/commands.ts
@@ -1,49 +1,46 @@
 /**
- * The commands that change the replicated store, and their results. Types alone. A command is stored in the log as it is
- * here, and a result in the snapshot: a field that goes or changes its meaning makes stored data unreadable.
+ * Commands that change the replicated store, and their results. Commands are stored in the log and results in snapshots:
+ * removing a field or changing its meaning makes stored data unreadable.
  */
 import type { Fault } from '../common/errors.js';
 import type { Resource } from '../policy/resource-schema.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 
-/** What a command expects to find: a version, nothing (`absent`), or whatever is there (`any`). */
+/** Required current state of a resource: a version, not existing (`absent`), or anything (`any`). */
 export type Precondition = number | 'absent' | 'any';
 
 interface CommandBase {
-  /** Chosen by the client; a resend with the same id gets the first answer. */
+  /** Idempotency key chosen by the client; a retry with the same id gets the original result. */
   readonly changeId: string;
   readonly actor: string;
-  /** Wall-clock milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
   readonly precondition: Precondition;
 }
 
-/** Creates or replaces a resource. */
 export interface PutCommand extends CommandBase {
   readonly type: 'put';
   readonly resource: Resource;
 }
 
-/** Deletes a resource. */
 export interface DeleteCommand extends CommandBase {
   readonly type: 'delete';
   readonly target: ResourceId;
 }
 
 /**
- * Replaces the whole declared set at once, on top of the version that it was built on. Carries only
- * what differs from that version.
+ * Replaces the declared set `baseVersion` by `version` in one revision. Carries only the differences between the two.
  */
 export interface DeclareCommand {
   readonly type: 'declare';
   readonly version: number;
   readonly baseVersion: number;
-  /** Digest of the whole set. */
+  /** Digest of the complete set. */
   readonly digest: string;
   readonly changed: readonly Resource[];
   readonly removed: readonly ResourceId[];
   readonly actor: string;
-  /** Wall-clock milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
 }
 
@@ -52,21 +49,20 @@
 
 export type Command = ResourceCommand | DeclareCommand;
 
-/** The answer to a declared set. */
+/** Result of a {@link DeclareCommand}. */
 export type DeclareResult =
   | { readonly type: 'declared'; readonly revision: number; readonly version: number }
   | { readonly type: 'version-conflict'; readonly currentVersion: number };
 
-/** The answer to a command. */
 export type CommandResult = ResourceResult | DeclareResult;
 
-/** The answer to a change of one resource. */
+/** Result of a {@link ResourceCommand}. */
 export type ResourceResult =
   | { readonly type: 'accepted'; readonly revision: number; readonly created: boolean }
-  /** The resource already stands as asked; nothing was changed. */
+  /** The resource already has the requested content. */
   | { readonly type: 'unchanged'; readonly revision: number }
   | { readonly type: 'conflict'; readonly current: StoredResource | undefined }
   | { readonly type: 'not-found' }
   | { readonly type: 'invalid'; readonly faults: readonly Fault[] }
-  /** The change id was used before for another change. */
+  /** The change id was already used for a different change. */
   | { readonly type: 'change-id-reused' };
--- a/src/control/declaration-api.ts
+++ b/src/control/declaration-api.ts
@@ -1,8 +1,6 @@
 /**
- * `/v1/declarations`: the whole declared set as one resource. `PUT` with `If-Match` of the version
- * that it builds on (RFC 9110, section 13.1.1; 0 for the first), `GET` for the newest.
- * Owns the order of checks (token, body, version) and the log line that says how a set was answered; `declaration-service.ts`
- * decides the answer.
+ * HTTP API `/v1/declarations`, which treats the whole declared set as one resource. `PUT` takes the version that the set is based
+ * on in `If-Match` (RFC 9110, section 13.1.1; 0 for the first set); `GET` returns the newest set.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Logger } from '../common/logger.js';
@@ -20,13 +18,13 @@
 export interface DeclarationApiOptions {
   readonly service: DeclarationService;
   readonly codec: DeclarationCodec;
-  /** Tokens of operators; undefined where whoever reaches this address may change the set. */
+  /** Operator tokens; undefined to accept requests without authentication. */
   readonly tokens: AccessTokens | undefined;
   readonly logger: Logger;
 }
 
 const VERSION_TAG = /^"?(\d{1,15})"?$/;
-/** Longest body, in bytes: a set of a few thousand routes. */
+/** Maximum body size in bytes; allows a set of several thousand routes. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 const ANONYMOUS_OPERATOR: AccessToken = { name: 'operator', role: 'write', tokenHash: '' };
 
@@ -129,7 +127,7 @@
   }
 }
 
-/** What a log line says of an outcome. */
+/** Log fields for an outcome. */
 function summaryOf(outcome: DeclareOutcome): Record<string, unknown> {
   switch (outcome.type) {
     case 'declared':
@@ -145,7 +143,7 @@
   }
 }
 
-/** A set may have been proposed before replication refused. */
+/** Writes a refusal with the verdict `may-have-run`: the set may have been proposed before. */
 function writeRefusalProblem(response: ServerResponse, refusal: LogRefusal): void {
   writeProblem(response, refusalProblem(refusal, 'may-have-run'));
 }
--- a/src/control/declaration-codec.ts
+++ b/src/control/declaration-codec.ts
@@ -1,25 +1,25 @@
 /**
- * How a declared set is laid out in the bodies of the declaration API. A deployment may bring a layout of its own; the content
- * is validated in `policy/route-schema.ts`.
+ * Format of declared sets in the bodies of the declaration API; deployments can supply their own. The resources are validated
+ * after decoding, in `policy/route-schema.ts`.
  */
 
-/** A declared set as operators send and read it. */
+/** A declared set as exchanged with operators. */
 export interface DeclarationDocument {
-  /** Chosen by the operator; higher than every earlier one. */
+  /** Chosen by the operator; must be greater than all previous versions. */
   readonly version: number;
-  /** Each with `kind`, `name` and `spec`; not yet validated. */
+  /** Resources with `kind`, `name` and `spec`; not yet validated. */
   readonly resources: readonly unknown[];
 }
 
-/** Reads and writes the bodies of the declaration API. */
+/** Decodes and encodes bodies of the declaration API. */
 export interface DeclarationCodec {
-  /** The set in a parsed JSON body; undefined when it is not laid out as one. */
+  /** Decodes a parsed JSON body; undefined when it does not have the expected format. */
   decode(body: unknown): DeclarationDocument | undefined;
-  /** The JSON value of a set. */
+  /** Returns the JSON value to send for a set. */
   encode(document: DeclarationDocument): unknown;
 }
 
-/** `{ "version": 7, "resources": [{ "kind": …, "name": …, "spec": … }] }` */
+/** Default format: `{ "version": 7, "resources": [{ "kind": …, "name": …, "spec": … }] }` */
 export const PLAIN_DECLARATION_CODEC: DeclarationCodec = {
   decode: (body) => {
     if (typeof body !== 'object' || body === null) return undefined;
--- a/src/control/declaration-history.ts
+++ b/src/control/declaration-history.ts
@@ -1,40 +1,39 @@
 /**
- * Which declared sets were accepted, by the versions that operators gave them. A set that is sent
- * again is recognised by version and content, however many others have come since. Decides whether a set follows, was accepted before or is
- * in conflict. Owns that list, a part of the replicated state.
+ * History of accepted declared sets, part of the replicated state. Recognizes a retried set by its version and digest, also
+ * after newer sets were accepted, and detects version conflicts.
  */
 
-/** A set that was accepted. */
+/** Record of an accepted set. */
 export interface AcceptedDeclaration {
   readonly version: number;
-  /** Digest of the set's content. */
+  /** Digest of the content of the set. */
   readonly digest: string;
-  /** Revision of the store at which it took effect. */
+  /** Store revision at which the set took effect. */
   readonly revision: number;
 }
 
-/** What would become of a set. */
+/** Result of checking a set against the history. */
 export type DeclarationCheck =
-  /** It was accepted before. */
+  /** The same set was already accepted. */
   | { readonly type: 'accepted-before'; readonly revision: number }
-  /** It follows on the current one. */
+  /** The set is based on the current version. */
   | { readonly type: 'follows' }
-  /** Another version is current. */
+  /** The set is not based on the current version, or its version is not greater. */
   | { readonly type: 'conflict'; readonly currentVersion: number };
 
-/** Sets that are remembered. At 1,800 a day, more than ten days' worth. */
+/** Maximum number of sets kept; older ones are no longer recognized as retries. */
 const MAX_DECLARATIONS = 20_000;
 
 export class DeclarationHistory {
   private readonly accepted = new Map<number, AcceptedDeclaration>();
   private current = 0;
 
-  /** Version of the newest set; 0 before the first. */
+  /** Version of the newest set; 0 if there is none. */
   get version(): number {
     return this.current;
   }
 
-  /** Judges a set with `version` on top of `baseVersion`. */
+  /** Checks whether a set with `version` can be applied on top of `baseVersion`. */
   check(version: number, baseVersion: number, digest: string): DeclarationCheck {
     const earlier = this.accepted.get(version);
     if (earlier?.digest === digest) return { type: 'accepted-before', revision: earlier.revision };
@@ -44,7 +43,7 @@
     return { type: 'follows' };
   }
 
-  /** Records a set that was accepted. */
+  /** Records an accepted set and evicts the oldest one when there are too many. */
   record(declaration: AcceptedDeclaration): void {
     this.accepted.set(declaration.version, declaration);
     this.current = declaration.version;
@@ -53,12 +52,12 @@
     if (oldest !== undefined) this.accepted.delete(oldest);
   }
 
-  /** Every set remembered, oldest first. */
+  /** All recorded sets, oldest first. */
   list(): AcceptedDeclaration[] {
     return [...this.accepted.values()];
   }
 
-  /** Replaces the history by one from a snapshot. */
+  /** Replaces the history with that of a snapshot. */
   restore(declarations: readonly AcceptedDeclaration[]): void {
     this.accepted.clear();
     this.current = 0;
--- a/src/control/declaration-service.ts
+++ b/src/control/declaration-service.ts
@@ -1,7 +1,7 @@
 /**
- * Takes whole declared sets, each on top of the version that it was built on, and reads the newest
- * back. A set takes effect at one revision or not at all. Decides that a set is invalid, or in conflict with what this leader knows,
- * before it is proposed; the store decides again once it is committed. Relies on the log for order and for the barrier.
+ * Accepts whole declared sets, each based on the version that its author read, and returns the newest set. A set takes effect at
+ * one revision or not at all. Invalid and conflicting sets are rejected before they are proposed; the store checks for conflicts
+ * again on commit.
  */
 import { hash } from 'node:crypto';
 import { isDeepStrictEqual } from 'node:util';
@@ -14,16 +14,16 @@
 import type { ResourceStore } from './resource-store.js';
 import { resourceIdOf, resourceKey, type ResourceId } from '../policy/stored-resource.js';
 
-/** The answer to a set. */
+/** Outcome of declaring a set. */
 export type DeclareOutcome =
   | DeclareResult
   | { readonly type: 'invalid'; readonly faults: readonly Fault[] }
-  /** This replica does not lead: the set was not looked at. */
+  /** This replica is not the leader; the set was not proposed. */
   | { readonly type: 'not-leader'; readonly leaderOrigin: string | undefined }
-  /** Whether the set took effect, or will, can't be known here. */
+  /** Replication refused; the set may have taken effect or may still do so. */
   | { readonly type: 'unknown'; readonly refusal: LogRefusal };
 
-/** The answer to a read. */
+/** Outcome of reading the newest set. */
 export type ReadOutcome =
   | { readonly type: 'read'; readonly document: DeclarationDocument }
   | { readonly type: 'none' }
@@ -32,7 +32,7 @@
 export interface DeclarationServiceOptions {
   readonly store: ResourceStore;
   readonly log: CommandLog;
-  /** Wall-clock milliseconds, recorded with changes for people. */
+  /** Wall-clock time in milliseconds, recorded with changes for display. */
   readonly wallClock: () => number;
 }
 
@@ -41,7 +41,8 @@
 
   /**
    * Declares a set.
-   * @param baseVersion version that the set was built on; 0 for the first
+   * @param baseVersion version that the set is based on; 0 for the first set
+   * @param actor name of the token holder
    */
   async declare(
     document: DeclarationDocument,
@@ -53,11 +54,11 @@
     const { store, log } = this.options;
     const { role, leaderOrigin } = log.status();
     if (role !== 'leader') return { type: 'not-leader', leaderOrigin };
-    // The difference is taken from the state that every accepted set is part of.
+    // The difference must be computed against a state that includes every accepted set.
     const refusal = await log.readBarrier();
     if (refusal !== undefined) return { type: 'unknown', refusal };
     const { version } = document;
-    // Every resource has passed the schema above.
+    // `documentFaults` has validated every resource.
     const resources = document.resources as readonly SetResource[];
     const digest = digestOf(resources);
     const check = store.declarations.check(version, baseVersion, digest);
@@ -80,7 +81,7 @@
     return { type: 'unknown', refusal: outcome.refusal };
   }
 
-  /** Reads the newest accepted set, or says that this replica can't be sure of it. */
+  /** Returns the newest accepted set, or `unsure` when the read barrier is refused. */
   async read(): Promise<ReadOutcome> {
     const { store, log } = this.options;
     const refusal = await log.readBarrier();
@@ -90,7 +91,7 @@
     return { type: 'read', document: { version, resources: this.current() } };
   }
 
-  /** The resources of the set as the store holds them. */
+  /** Resources in the store that belong to the declared set. */
   private current(): Resource[] {
     return this.options.store
       .list()
@@ -122,7 +123,7 @@
   return faults;
 }
 
-/** A digest of a set's content that does not depend on the order of resources or keys. */
+/** Digest of the content of a set, independent of the order of resources and keys. */
 function digestOf(resources: readonly SetResource[]): string {
   const texts = resources.map((resource) => canonicalText(resource)).sort();
   return hash('sha256', texts.join('\n'), 'base64');
--- a/src/control/endpoint-list.ts
+++ b/src/control/endpoint-list.ts
@@ -1,11 +1,8 @@
-/**
- * The endpoints that one control replica hands out, with a version for each change since its start. Owns the list and its
- * latest changes, in memory alone; `member-table.ts` decides what stands in it.
- */
+/** Versioned list of the endpoints known to one control replica, with its latest changes. Versions count from the start of the process. */
 import type { EndpointRecord } from '../call/endpoint.js';
 import type { EndpointChange } from '../sync/sync-protocol.js';
 
-/** Changes kept for followers that are behind; one that is further behind gets the whole list. */
+/** Maximum number of changes kept; followers that are further behind receive the whole list. */
 const MAX_CHANGES = 5_000;
 
 export class EndpointList {
@@ -13,17 +10,16 @@
   private changes: EndpointChange[] = [];
   private currentVersion = 0;
 
-  /** Counts the changes since the start of this replica. */
+  /** Number of changes since the start of this replica. */
   get version(): number {
     return this.currentVersion;
   }
 
-  /** Every endpoint. */
   list(): EndpointRecord[] {
     return [...this.records.values()];
   }
 
-  /** The changes after `version`; undefined when they are no longer all kept. */
+  /** Changes after `version`; undefined when some were evicted or `version` is in the future. */
   changesSince(version: number): EndpointChange[] | undefined {
     const first = this.changes[0];
     const oldest = first === undefined ? this.version : first.version - 1;
@@ -31,7 +27,7 @@
     return this.changes.filter((change) => change.version > version);
   }
 
-  /** Adds or replaces an endpoint. One that stands so already makes no change. */
+  /** Adds or replaces an endpoint. An identical record creates no change. */
   set(record: EndpointRecord): void {
     const { id } = record;
     if (isSameEndpoint(this.records.get(id), record)) return;
--- a/src/control/follower-api.ts
+++ b/src/control/follower-api.ts
@@ -1,7 +1,6 @@
 /**
- * The internal API for processes that follow control (nodes, edges, sidecars): heartbeats and long-poll sync, see
- * `sync-protocol.ts`. Decides when a held sync is answered; the members, quotas and evidence that a heartbeat brings are judged
- * in their own modules.
+ * Internal HTTP API for the processes that follow control (nodes, edges, sidecars): heartbeats and long-poll sync. For the
+ * messages see `sync-protocol.ts`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
@@ -24,7 +23,6 @@
 import type { SyncResponder } from './sync-responder.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** What the API is made of. */
 export interface FollowerApiOptions {
   readonly clock: Clock;
   readonly store: ResourceStore;
@@ -37,9 +35,9 @@
   readonly responder: SyncResponder;
 }
 
-/** Longest request, in bytes, and longest time for it to arrive, in milliseconds. */
+/** Maximum size of a request and maximum time to receive it. */
 const BODY_LIMITS: BodyLimits = { bufferBytes: 64 * 1024, maxBytes: 64 * 1024, timeoutMs: 5_000 };
-/** Time between two checks of a held request that this replica still has a leader, in milliseconds. */
+/** Interval in milliseconds at which a held sync checks that this replica still has a leader. */
 const LEADER_CHECK_INTERVAL_MS = 2_000;
 
 export class FollowerApi {
@@ -98,7 +96,7 @@
     }
     const holdUntil = clock.now() + SYNC_HOLD_MS;
     while (!responder.hasNews(request) && clock.now() < holdUntil && !response.destroyed) {
-      // A replica without a leader may never receive the next change: the follower asks another.
+      // A replica without a leader may never receive the next change; the error makes the follower try another replica.
       if (log.status().problem !== undefined) {
         writeStatus(response, HttpStatus.ServiceUnavailable);
         return;
--- a/src/control/leadership-log.ts
+++ b/src/control/leadership-log.ts
@@ -1,4 +1,4 @@
-/** What a replica logs of its role and its leader: one line for each change. Owns the state that it logged last. */
+/** Logs changes of the role of this replica and of its leader, one line for each change. */
 import type { Logger } from '../common/logger.js';
 import type { LogStatus } from '../sync/status-report.js';
 
@@ -7,7 +7,7 @@
 
   constructor(private readonly logger: Logger) {}
 
-  /** Looks at the state once. */
+  /** Logs the state if the role or the leader has changed since the last call. */
   check({ role, term, leaderId }: Pick<LogStatus, 'role' | 'term' | 'leaderId'>): void {
     const text = `${role} ${leaderId ?? ''}`;
     if (text === this.logged) return;
--- a/src/control/member-table.ts
+++ b/src/control/member-table.ts
@@ -1,46 +1,44 @@
 /**
- * The nodes and edges that send heartbeats to one control replica. Soft state: it is learned from
- * heartbeats, which every process sends to every replica, so it needs no agreement and survives the
- * loss of any replica. Owns the members' leases and decides when one is gone, superseded or leaving; `endpoint-list.ts` keeps
- * the list that followers get.
+ * Table of the nodes and edges that send heartbeats to one control replica. It is soft state: every process sends heartbeats to
+ * every replica, so the table needs no replication and survives the loss of any replica.
  */
 import type { EndpointChange } from '../sync/sync-protocol.js';
 import type { Heartbeat, HeartbeatReply } from '../sync/heartbeat.js';
 import type { EndpointRecord, EndpointState } from '../call/endpoint.js';
 import { EndpointList } from './endpoint-list.js';
 
-/** A member as seen by this replica. */
+/** Last heartbeat of a member. */
 export interface Member extends Heartbeat {
-  /** Monotonic milliseconds of this replica. */
+  /** Time at which it arrived, in monotonic milliseconds of this replica. */
   readonly seenAt: number;
 }
 
-/** An incarnation that counts as an earlier one of its member. */
+/** An incarnation with a lower number than the latest known one of its member. */
 interface OlderIncarnation {
   readonly incarnation: number;
   readonly firstSeenAt: number;
 }
 
-/** Default of the lease, in milliseconds: five heartbeats at their default interval. */
+/** Default lease in milliseconds: five heartbeats at the default interval. */
 export const MEMBER_LEASE_MS = 10_000;
-/** When more than this fraction falls silent together, the replica suspects its own network. */
+/** No member expires when more than this fraction is overdue: the network of this replica is then the likelier cause. */
 const MASS_EXPIRY_FRACTION = 0.3;
-/** Members below which any number that falls silent together is taken to be gone. */
+/** Minimum number of members for {@link MASS_EXPIRY_FRACTION} to apply. */
 const MIN_MEMBERS_FOR_MASS_EXPIRY = 10;
-/** Heartbeats that were delayed arrive together; those of a process that runs come this far apart, in milliseconds. */
+/** Minimum gap in milliseconds that distinguishes heartbeats of a running process from delayed ones that arrive together. */
 const MIN_HEARTBEAT_GAP_MS = 300;
 
 export class MemberTable {
   private readonly members = new Map<string, Member>();
   private readonly endpoints = new EndpointList();
-  /** Members that are gone, as they were last heard of. */
+  /** Last heartbeat of members whose lease has expired. */
   private readonly expired = new Map<string, Member>();
-  /** Earlier incarnations that were heard while or after a newer one was known, and when first. */
+  /** By member id: an older incarnation that sent a heartbeat after the lease of a newer one ran out. */
   private readonly olderIncarnations = new Map<string, OlderIncarnation>();
   private leavingAddresses: ReadonlySet<string> = new Set();
   private readonly startedAt: number;
 
-  /** @param leaseMs time without a heartbeat after which a member's lease has run out */
+  /** @param leaseMs time without a heartbeat after which a member expires */
   constructor(
     now: number,
     private readonly leaseMs: number = MEMBER_LEASE_MS,
@@ -48,18 +46,22 @@
     this.startedAt = now;
   }
 
-  /** Version of the endpoint list; counts its changes at this replica. */
+  /** Version of the endpoint list of this replica. */
   get endpointVersion(): number {
     return this.endpoints.version;
   }
 
-  /**
-   * Whether the list can be trusted: a replica that has just started has not heard from everyone.
-   */
+  /** Whether every running member has had time to send a heartbeat since the start of this replica. */
   isComplete(now: number): boolean {
     return now - this.startedAt >= this.leaseMs;
   }
 
+  /**
+   * Records a heartbeat and builds the reply.
+   * @param revision current revision of the store
+   * @param isCurrent whether this replica has a leader, so that it receives every change
+   * @param controlOrigins origins of all control replicas
+   */
   onHeartbeat(
     heartbeat: Heartbeat,
     now: number,
@@ -85,9 +87,9 @@
   }
 
   /**
-   * Whether an incarnation runs that counts as an earlier one. Heartbeats of one that has crashed may arrive late, and
-   * would send calls to it; but clocks step, and a restarted process may count as earlier. It is taken if it is heard
-   * again some time later.
+   * Whether an older incarnation is confirmed to be running. A single late heartbeat of a crashed process must not restore its
+   * endpoint, but a restarted process can have a lower incarnation if its clock was set back; it is accepted if another
+   * heartbeat arrives after {@link MIN_HEARTBEAT_GAP_MS}.
    */
   private isConfirmedRunning({ id, incarnation }: Heartbeat, now: number): boolean {
     const older = this.olderIncarnations.get(id);
@@ -99,15 +101,15 @@
   }
 
   /**
-   * Adopts the platform's list of leaving machines: addresses with or without a port. It lags, so it only ever takes
-   * endpoints out: a node that says itself that it is leaving stays out.
+   * Sets the addresses (with or without a port) that the platform reports as leaving. Because the list lags, it can only mark
+   * endpoints as leaving; it never overrides a node that reports itself as leaving.
    */
   setLeavingAddresses(addresses: ReadonlySet<string>): void {
     this.leavingAddresses = addresses;
     for (const id of this.members.keys()) this.refreshEndpoint(id);
   }
 
-  /** Drops members whose lease has run out, unless too many fell silent together. */
+  /** Removes members whose lease has expired, unless too many are overdue at once. */
   expire(now: number): void {
     const overdue = [...this.members.values()].filter(
       (member) => now - member.seenAt >= this.leaseMs,
@@ -121,22 +123,21 @@
     }
   }
 
-  /** Milliseconds since a member was last heard of, counted from this replica's start at least. */
+  /** Milliseconds since a member's last heartbeat, or since the start of this replica if it has sent none. */
   sinceHeartbeatMs(id: string, now: number): number {
     return now - (this.members.get(id)?.seenAt ?? this.expired.get(id)?.seenAt ?? this.startedAt);
   }
 
-  /** Every member, ordered by id. */
+  /** All members, ordered by id. */
   list(): Member[] {
     return [...this.members.values()].sort((a, b) => (a.id < b.id ? -1 : 1));
   }
 
-  /** Every endpoint. */
   endpointList(): EndpointRecord[] {
     return this.endpoints.list();
   }
 
-  /** The changes after `version`; undefined when they are no longer all kept. */
+  /** Endpoint changes after `version`; undefined when they are no longer all available. */
   endpointChangesSince(version: number): EndpointChange[] | undefined {
     return this.endpoints.changesSince(version);
   }
--- a/src/control/platform-list.ts
+++ b/src/control/platform-list.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the platform's list of live and leaving machines. It lags and can be wrong, so it only ever
- * takes endpoints out; a list that can't be read changes nothing and is logged. Owns the timer of the reading alone.
+ * Polls the platform's list of live and leaving machines. The list lags and can be wrong, so it is only used to take endpoints
+ * out; a failed read is logged and changes nothing.
  */
 import { request } from 'undici';
 import { z } from 'zod';
@@ -11,14 +11,14 @@
 const listSchema = z.object({
   machines: z.array(
     z.object({
-      /** IP address, with a port where several targets share one. */
+      /** IP address, with a port when several targets share the address. */
       address: z.string(),
       state: z.enum(['live', 'leaving']),
     }),
   ),
 });
 
-/** Longest time for one reading, in milliseconds. */
+/** Timeout of one read in milliseconds. */
 const TIMEOUT_MS = 2_000;
 
 export interface PlatformListOptions {
@@ -26,7 +26,7 @@
   readonly url: string;
   readonly intervalMs: number;
   readonly logger: Logger;
-  /** Called with the addresses of leaving machines after each reading. */
+  /** Called with the addresses of all leaving machines after each successful read. */
   readonly onLeaving: (addresses: ReadonlySet<string>) => void;
 }
 
@@ -63,7 +63,7 @@
   const response = await request(url, { signal: AbortSignal.timeout(TIMEOUT_MS) });
   if (response.statusCode !== HttpStatus.Ok) {
     await response.body.dump();
-    // Ends in the log line of the reader; nothing outside this module receives it.
+    // Caught by the reader, which logs it.
     throw new Error(`status ${response.statusCode}`);
   }
   const { machines } = listSchema.parse(await response.body.json());
--- a/src/control/quarantine-keeper.ts
+++ b/src/control/quarantine-keeper.ts
@@ -1,8 +1,6 @@
 /**
- * On the leader: puts requests in quarantine that crash the targets that run them, and ends each quarantine in time. They
- * are resources of the replicated store: restarted processes know them with their first configuration, and they outlast a
- * loss of power. Decides begin, renewal and end from the evidence (`quarantine/crash-evidence.ts`) and the time of day; owns only
- * which changes are being written.
+ * Runs on the leader: quarantines requests that crash the targets that run them, and ends each quarantine when its term is over.
+ * Quarantines are resources of the replicated store, so they survive restarts and reach processes with their first configuration.
  */
 import { randomUUID } from 'node:crypto';
 import type { Logger } from '../common/logger.js';
@@ -11,39 +9,38 @@
 import type { CommandLog } from './command-log.js';
 import type { ResourceStore } from './resource-store.js';
 
-/** Recorded as the author of changes that control makes itself. */
+/** Actor recorded for changes that control makes itself. */
 const ACTOR = 'shoredoor';
-/** Time of the first quarantine of a request, in milliseconds; each further one is several times as long. */
+/** Duration of the first quarantine of a request, in milliseconds. */
 const FIRST_TERM_MS = 10 * 60_000;
-/** How many times as long as the one before each further quarantine is. */
+/** Factor by which each further term is longer than the one before. */
 const TERM_FACTOR = 4;
-/** Longest time of one quarantine, in milliseconds. */
+/** Maximum duration of one term, in milliseconds. */
 const MAX_TERM_MS = 24 * 60 * 60_000;
-/** Time after a quarantine for which one more crash under the request renews it, in milliseconds. */
+/** Time after a quarantine during which a single further crash renews it, in milliseconds. */
 const PROBATION_MS = 24 * 60 * 60_000;
-/** Requests in quarantine or on probation at once: each costs the store about 200 bytes. */
+/** Maximum number of requests in quarantine or on probation; bounds the size of the store. */
 const MAX_QUARANTINES = 256;
 
-/** What the keeper is made of. */
 export interface QuarantineKeeperOptions {
   readonly store: ResourceStore;
   readonly log: CommandLog;
   readonly evidence: CrashEvidence;
-  /** Milliseconds since 1970: terms outlast restarts. */
+  /** Milliseconds since the Unix epoch; terms continue across restarts. */
   readonly wallClock: () => number;
   readonly logger: Logger;
 }
 
 export class QuarantineKeeper {
-  /** Fingerprints whose change is being written. */
+  /** Fingerprints with a proposal in flight. */
   private readonly pendingFingerprints = new Set<string>();
   private quarantines: readonly QuarantineResource[] = [];
-  /** Of the store, when its quarantines were read. */
+  /** Revision of the store from which `quarantines` was read. */
   private loadedRevision = -1;
 
   constructor(private readonly options: QuarantineKeeperOptions) {}
 
-  /** Looks at the evidence and the terms once. A replica that does not lead declares nothing. */
+  /** Checks the crash evidence and the terms once. Proposes changes only on the leader. */
   check(): void {
     const { evidence, log } = this.options;
     this.refreshQuarantines();
--- a/src/control/quota-keeper.ts
+++ b/src/control/quota-keeper.ts
@@ -1,7 +1,6 @@
 /**
- * The quotas of groups at one control replica: keeps the ledger of what ingresses may let run, with the limits of the
- * configuration here, and answers reports with grants where this replica leads. Decides only whether this replica may grant; how much is decided in
- * `quota/quota-ledger.ts`. Owns the ledger, in memory alone: grants end with their windows.
+ * Answers quota reports of ingresses with grants. Every replica keeps the ledger, with the limits of its configuration, but only
+ * the leader grants. The ledger is in memory only: grants expire with their windows.
  */
 import { handedOutInWindow, type QuotaRule } from '../quota/quota-rule.js';
 import { QuotaLedger } from '../quota/quota-ledger.js';
@@ -11,18 +10,18 @@
 import { GroupTable } from '../policy/group-table.js';
 
 /**
- * A leader grants only while a majority has confirmed it this lately, in milliseconds: one that was deposed steps down
- * within an election timeout.
+ * Maximum time in milliseconds since a majority last confirmed the leader. Without recent confirmation another leader may have
+ * been elected, and both would grant.
  */
 const CONFIRMED_WITHIN_MS = 1_000;
 
 export class QuotaKeeper {
   private readonly ledger: QuotaLedger;
   private groups = new GroupTable();
-  /** Of the store, when its groups were read. */
+  /** Revision of the store from which `groups` was read. */
   private loadedRevision = -1;
 
-  /** @param startedAt monotonic milliseconds since which every grant is known here */
+  /** @param startedAt monotonic milliseconds since which the ledger includes every grant */
   constructor(
     private readonly store: ResourceStore,
     private readonly rule: QuotaRule,
@@ -32,7 +31,7 @@
     this.ledger = new QuotaLedger({ windowMs, limitOf: (group) => this.limitOf(group) }, startedAt);
   }
 
-  /** An ingress has reported; undefined where this replica may not grant. */
+  /** Records the report of an ingress and returns its grants; undefined when this replica may not grant. */
   onReport(
     id: string,
     report: QuotaReport,
@@ -45,7 +44,7 @@
     return mayGrant ? grants : undefined;
   }
 
-  /** Requests in a window that may be handed out of a group; undefined where it has no limit. */
+  /** Number of requests of a group that may be granted per window; undefined if the group has no limit. */
   limitOf(group: string): number | undefined {
     const rate = this.groups.get(group)?.rate;
     return rate === undefined ? undefined : handedOutInWindow(rate, this.rule);
--- a/src/control/remembered-results.ts
+++ b/src/control/remembered-results.ts
@@ -1,25 +1,25 @@
 /**
- * Answers to recent changes of single resources, so that a change that is sent again with the same id gets the first
- * answer and is not made twice. Owns the list that is part of the replicated state; every replica forgets in the same order.
+ * Results of recent changes by change id, part of the replicated state. A change that is retried with the same id gets the
+ * original result and is not applied twice. Records are evicted in the same order on every replica.
  */
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { ResourceCommand, ResourceResult } from './commands.js';
 
-/** An answer as a snapshot holds it. */
+/** Record of a change and its result, as stored in snapshots. */
 export interface IdempotencyRecord {
   readonly changeId: string;
-  /** Tells a resend from another change that uses the same id. */
+  /** Hash of the change; distinguishes a retry from a different change with the same id. */
   readonly fingerprint: number;
   readonly result: ResourceResult;
 }
 
-/** Answers that are remembered. At 1,800 changes a day, more than five days' worth. */
+/** Maximum number of records kept; older changes are no longer recognized as retries. */
 const MAX_RECORDS = 10_000;
 
 export class IdempotencyRecords {
   private byChangeId = new Map<string, IdempotencyRecord>();
 
-  /** The first answer to a change that is sent again; undefined for a change id that is new. */
+  /** Returns the original result of a retried change; undefined when the change id is new. */
   resultFor(command: ResourceCommand): ResourceResult | undefined {
     const earlier = this.byChangeId.get(command.changeId);
     if (earlier === undefined) return undefined;
@@ -27,7 +27,7 @@
     return { type: 'change-id-reused' };
   }
 
-  /** Keeps the answer to a command, and forgets the oldest one beyond the most that are kept. */
+  /** Records the result of a command and evicts the oldest record when there are too many. */
   record(command: ResourceCommand, result: ResourceResult): void {
     const { changeId } = command;
     this.byChangeId.set(changeId, { changeId, fingerprint: fingerprintOf(command), result });
@@ -36,12 +36,12 @@
     if (oldest !== undefined) this.byChangeId.delete(oldest);
   }
 
-  /** Every answer, oldest first. */
+  /** All records, oldest first. */
   list(): IdempotencyRecord[] {
     return [...this.byChangeId.values()];
   }
 
-  /** Replaces the answers by those of a snapshot. */
+  /** Replaces the records with those of a snapshot. */
   restore(results: readonly IdempotencyRecord[]): void {
     this.byChangeId = new Map(results.map((entry) => [entry.changeId, entry]));
   }
--- a/src/control/replicated-command-log.ts
+++ b/src/control/replicated-command-log.ts
@@ -1,7 +1,4 @@
-/**
- * The {@link CommandLog} of a control replica, on top of the replicated log. Decides how long an operator waits, and which refusal
- * an outcome of the log is. Owns no state.
- */
+/** {@link CommandLog} of a control replica on top of the Raft log. Applies timeouts and maps outcomes of the log to refusals. */
 import type { Clock } from '../common/clock.js';
 import { encodeMessage } from '../common/message-codec.js';
 import type { ProposalOutcome, RaftStatus } from '../consensus/raft-options.js';
@@ -17,9 +14,9 @@
   ResourceResult,
 } from './commands.js';
 
-/** Longest time that an operator waits for a quorum, in milliseconds: several elections. */
+/** Timeout of a proposal in milliseconds; allows for several elections. */
 const PROPOSE_TIMEOUT_MS = 5_000;
-/** Longest time for a read barrier, in milliseconds; shorter, since a read can be sent again at once. */
+/** Timeout of a read barrier in milliseconds; shorter, because reads are safe to retry at once. */
 const READ_TIMEOUT_MS = 1_500;
 
 export class ReplicatedCommandLog implements CommandLog {
--- a/src/control/replication-link.ts
+++ b/src/control/replication-link.ts
@@ -1,6 +1,6 @@
 /**
- * The link between control replicas: one POST a message, answered with no content. A message that is lost is not sent again here:
- * the log repeats what matters. Owns how many messages are under way to each replica.
+ * Transport between control replicas: one HTTP POST per message, answered with 204. Lost messages are not retried here; Raft sends
+ * them again.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { MessageTarget, RaftMessage, RaftTransport } from '../consensus/raft-types.js';
@@ -12,23 +12,23 @@
 
 export const REPLICATION_PATH = '/internal/replication';
 
-/** Longest message, in bytes: a snapshot is the largest. */
+/** Maximum message size in bytes; snapshots are the largest messages. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 const BODY_LIMITS: BodyLimits = {
   bufferBytes: MAX_MESSAGE_BYTES,
   maxBytes: MAX_MESSAGE_BYTES,
   timeoutMs: 10_000,
 };
-/** Messages to one replica that may be under way; a replica that does not answer gets no more. */
+/** Maximum number of messages in flight to one replica; further messages are dropped. */
 const MAX_IN_FLIGHT = 16;
 
 interface Envelope {
-  /** Identity of the replica that is meant; empty for whoever runs there. */
+  /** Identity of the receiving replica; empty for any replica at the address. */
   readonly to: string;
   readonly message: RaftMessage;
 }
 
-/** Sends messages to replicas over HTTP. */
+/** Sends messages to other replicas. */
 export class ReplicationSender implements RaftTransport {
   private readonly inFlight = new Map<string, number>();
 
@@ -50,7 +50,7 @@
   }
 }
 
-/** Takes messages from other replicas. */
+/** Receives messages from other replicas. */
 export class ReplicationReceiver {
   constructor(
     private readonly host: ReplicaHost,
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -1,7 +1,6 @@
 /**
- * The resource API for operators: list, get, put, delete, dry run, watch, status. Conditional
- * requests follow RFC 9110, section 13; a change id travels as `Idempotency-Key`. Owns the order of checks before a change
- * is proposed (token, body, schema, headers); whether it is accepted is decided by `resource-store.ts`, once it is committed.
+ * Resource API for operators: list, get, put, delete, dry run, watch, status. Conditional requests follow RFC 9110, section 13; the
+ * change id is sent as `Idempotency-Key`. The store accepts or rejects a change once it is committed.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Logger } from '../common/logger.js';
@@ -25,19 +24,18 @@
 import type { StatusReport } from '../sync/status-report.js';
 import type { WatchStreams } from './watch-streams.js';
 
-/** What the API is made of. */
 export interface ResourceApiOptions {
   readonly store: ResourceStore;
   readonly log: CommandLog;
   readonly tokens: AccessTokens;
   readonly watches: WatchStreams;
   readonly status: () => StatusReport;
-  /** Wall-clock milliseconds, recorded with changes for people. */
+  /** Wall-clock time in milliseconds, recorded with changes for display. */
   readonly wallClock: () => number;
   readonly logger: Logger;
 }
 
-/** Longest body of a change, in bytes. */
+/** Maximum body size of a change in bytes. */
 const MAX_BODY_BYTES = 1024 * 1024;
 const RESOURCES_PATH = '/v1/resources';
 
@@ -154,7 +152,7 @@
     return false;
   }
 
-  /** Replicates a change, or previews it for a dry run, and answers. */
+  /** Proposes a change, or previews it for a dry run, and writes the response. */
   private async change(
     request: ApiRequest,
     build: (base: Omit<ResourceCommand, 'type' | 'resource' | 'target'>) => ResourceCommand,
@@ -192,7 +190,7 @@
     writeResult(request.response, outcome.result, false);
   }
 
-  /** Waits until the state is current; answers and returns false when it cannot be made so. */
+  /** Waits for a read barrier; on refusal writes the response and returns false. */
   private async awaitReadBarrier(request: ApiRequest): Promise<boolean> {
     const refusal = await this.options.log.readBarrier();
     if (refusal === undefined) return true;
--- a/src/control/resource-store.ts
+++ b/src/control/resource-store.ts
@@ -1,8 +1,6 @@
 /**
- * The replicated state of control: declared resources, their versions, and the answers to recent
- * changes. A deterministic state machine: the same commands in the same order give the same state
- * and the same results on every replica. It decides whether a change is accepted, unchanged, in
- * conflict or invalid; it relies on the log for the order, and has no clock: times come with commands.
+ * Replicated state of control: resources with their versions, and results of recent changes. A deterministic state machine: the
+ * same commands in the same order give the same state and results on every replica. It reads no clock; times are part of commands.
  */
 import {
   resourceIdOf,
@@ -33,10 +31,10 @@
   private readonly idempotencyRecords = new IdempotencyRecords();
   private readonly history = new ChangeHistory();
   private currentRevision = 0;
-  /** The declared sets that were accepted. */
+  /** Accepted declared sets. */
   readonly declarations = new DeclarationHistory();
 
-  /** Revision of the last accepted change; 0 before the first. */
+  /** Revision of the last accepted change; 0 if there is none. */
   get revision(): number {
     return this.currentRevision;
   }
@@ -55,17 +53,17 @@
     return sortedByKey(this.resources);
   }
 
-  /** The changes after `revision` in order; undefined when they are no longer all kept. */
+  /** Changes after `revision` in order; undefined when they are no longer all available. */
   changesSince(revision: number): ResourceChange[] | undefined {
     return this.history.since(revision, this.currentRevision);
   }
 
-  /** What `command` would answer now, without changing anything. */
+  /** Returns the result that `command` would have now, without applying it. */
   preview(command: ResourceCommand): ResourceResult {
     return this.evaluate(command, this.currentRevision + 1);
   }
 
-  /** Applies a command. The same change id gets the first answer again. */
+  /** Applies a command. A retry with the same change id returns the original result. */
   apply(command: Command): CommandResult {
     if (command.type === 'declare') return this.declare(command);
     const earlier = this.idempotencyRecords.resultFor(command);
@@ -86,7 +84,7 @@
     };
   }
 
-  /** Replaces the state by a snapshot's. Watchers that are behind it must list again. */
+  /** Replaces the state with that of a snapshot. Watchers that are behind it must list again. */
   restore(snapshot: StoreSnapshot): void {
     this.resources.clear();
     for (const stored of snapshot.resources) {
@@ -113,7 +111,7 @@
     return { type: 'declared', version, revision };
   }
 
-  /** Every change of a set takes effect at one revision. A set without changes takes none. */
+  /** Applies all changes of a set at one revision. A set without changes creates no revision. */
   private commitSet({ changed, removed, actor, at }: DeclareCommand): void {
     if (changed.length + removed.length === 0) return;
     const revision = this.currentRevision + 1;
@@ -174,7 +172,7 @@
   return current?.version === precondition;
 }
 
-/** Both went through the schema, which fixes the order of keys and fills in defaults. */
+/** Comparing the JSON texts is sufficient: the schema fixes the order of keys and fills in defaults. */
 function sameResource(first: Resource, second: Resource): boolean {
   return JSON.stringify(first) === JSON.stringify(second);
 }
--- a/src/control/status-report.ts
+++ b/src/control/status-report.ts
@@ -1,14 +1,13 @@
 /**
- * Builds what `status` shows from what one replica knows: its log, its store and the members that send it heartbeats. Pure;
- * owns no state. A change is in force everywhere once the accepted and the in-force revision are equal.
+ * Builds the report of the `status` command from the log, the store and the members of one replica. A change is in force everywhere
+ * when the accepted and the in-force revision are equal.
  */
 import type { LogStatus, StatusReport } from '../sync/status-report.js';
 import type { Member } from './member-table.js';
 
-/** Most lagging members that a report names, so that it stays short on a large fleet. */
+/** Maximum number of lagging members listed; keeps the report short in large fleets. */
 const MAX_LAGGING_SHOWN = 50;
 
-/** Builds the report of one replica. */
 export function buildStatusReport(
   replicaId: string,
   replication: LogStatus,
--- a/src/control/store-machine.ts
+++ b/src/control/store-machine.ts
@@ -1,4 +1,4 @@
-/** The {@link ResourceStore} as a replicated state machine: decodes commands and snapshots, and owns no state besides. */
+/** Adapter from {@link ResourceStore} to the replicated {@link StateMachine}: decodes commands and snapshots. */
 import { decodeMessage, encodeMessage } from '../common/message-codec.js';
 import type { StateMachine } from '../consensus/raft-types.js';
 import type { Command, CommandResult } from './commands.js';
@@ -6,7 +6,7 @@
 import type { StoreSnapshot } from './store-snapshot.js';
 
 export class StoreMachine implements StateMachine {
-  /** @param onChanged called whenever the store may have a new revision */
+  /** @param onChanged called after every command or snapshot, whether or not the revision changed */
   constructor(
     private readonly store: ResourceStore,
     private readonly onChanged: () => void,
--- a/src/control/sync-packer.ts
+++ b/src/control/sync-packer.ts
@@ -1,6 +1,6 @@
 /**
- * Packs the answers to syncs; followers at the same revision get the same bytes, so that a large change is encoded and compressed
- * once for all of them. Owns those bytes until the next revision.
+ * Encodes sync responses. The packed configuration is cached by the follower's revision, so a large change is encoded and
+ * compressed once for all followers at that revision.
  */
 import {
   packConfiguration,
@@ -10,18 +10,18 @@
 import type { SyncRequest } from '../sync/sync-protocol.js';
 import type { SyncResponder } from './sync-responder.js';
 
-/** Revisions of followers for which the packed news are kept: most are at the newest one or two. */
+/** Maximum number of follower revisions cached; most followers are at one of the latest two. */
 const MAX_CACHED_REVISIONS = 8;
 
 export class SyncPacker {
-  /** Packed news by the follower's revision. */
+  /** Packed configuration by the follower's revision. */
   private readonly cache = new Map<number, PackedConfiguration>();
-  /** Revision that the packed news lead to. */
+  /** Revision of this replica for which the cache is valid. */
   private cachedRevision = -1;
 
   constructor(private readonly responder: SyncResponder) {}
 
-  /** Everything that the follower does not have. */
+  /** Packs everything that the follower does not have yet. */
   pack(request: SyncRequest): PackedSync {
     const configuration = this.configuration(request);
     return { configuration, ...this.responder.endpointUpdate(request) };
--- a/src/control/sync-responder.ts
+++ b/src/control/sync-responder.ts
@@ -1,7 +1,4 @@
-/**
- * What a control replica sends a process that follows it, and whether there is anything to send. Pure: it reads the store, the
- * members and the evidence of crashes, and owns nothing.
- */
+/** Builds sync responses for followers from the store, the members and the crash evidence of a control replica. */
 import type { Clock } from '../common/clock.js';
 import type { CrashEvidence } from '../quarantine/crash-evidence.js';
 import type { MemberTable } from './member-table.js';
@@ -15,7 +12,7 @@
 } from '../sync/sync-protocol.js';
 
 export class SyncResponder {
-  /** @param sourceId names this replica and its start, as `endpointSource` */
+  /** @param sourceId identifies this replica and its start; sent as `endpointSource` */
   constructor(
     private readonly clock: Clock,
     private readonly store: ResourceStore,
@@ -24,20 +21,20 @@
     private readonly evidence: CrashEvidence,
   ) {}
 
-  /** Where this replica's endpoint list stands. */
+  /** Source and version of this replica's endpoint list. */
   get endpointPosition(): EndpointPosition {
     return { source: this.sourceId, version: this.members.endpointVersion };
   }
 
   /**
-   * Whether this replica must prove that it is not behind before it answers: a process that has just
-   * started knows no revision of its own to compare with.
+   * Whether a read barrier is needed before the response: a follower that has just started has no revision with which to
+   * detect a stale response.
    */
   needsReadBarrier(request: SyncRequest): boolean {
     return request.revision === NO_REVISION;
   }
 
-  /** Whether there is anything that the follower does not have. */
+  /** Whether there is anything that the follower does not have yet. */
   hasNews(request: SyncRequest): boolean {
     const { store, members, sourceId } = this;
     if (store.revision > request.revision) return true;
@@ -48,8 +45,8 @@
   }
 
   /**
-   * A replica that has just started has not heard from everyone: it gives its list only to
-   * followers that have none.
+   * Whether to send the whole endpoint list to a follower of another source. Shortly after its start this replica's list is
+   * incomplete, so only followers without a list receive it.
    */
   private mayListEndpoints(request: SyncRequest): boolean {
     const { members, clock } = this;
@@ -60,17 +57,17 @@
     return suspectVersion !== undefined && suspectVersion !== this.evidence.suspectVersion;
   }
 
-  /** Everything that the follower does not have. */
+  /** Builds a response with everything that the follower does not have yet. */
   buildResponse(request: SyncRequest): SyncResponse {
     return { ...this.configurationUpdate(request), ...this.endpointUpdate(request) };
   }
 
-  /** Revision of the configuration here. */
+  /** Revision of the configuration of this replica. */
   get revision(): number {
     return this.store.revision;
   }
 
-  /** What the follower does not have of the configuration. */
+  /** Configuration changes, or all resources, that the follower does not have yet. */
   configurationUpdate(request: SyncRequest): ConfigurationNews {
     const { store } = this;
     const { revision } = store;
@@ -83,7 +80,7 @@
     return { revision, resources: store.list(), changes: [] };
   }
 
-  /** What the follower does not have of the endpoints. */
+  /** Endpoint changes, or the whole list, that the follower does not have yet. */
   endpointUpdate(request: SyncRequest): EndpointNews {
     const { members, sourceId, evidence } = this;
     const update = {
--- a/src/control/watch-streams.ts
+++ b/src/control/watch-streams.ts
@@ -1,12 +1,12 @@
-/** Watches: streams of JSON lines that follow the changes from a revision on. Owns the open streams. */
+/** Watches: streams of JSON lines with the changes since a given revision. */
 import type { ServerResponse } from 'node:http';
 import type { ChangeNotifier } from './change-notifier.js';
 import type { ResourceStore } from './resource-store.js';
 import type { WatchEvent } from '../sync/watch-event.js';
 
-/** Time between two signs of life on a watch without changes, in milliseconds: half a client's limit. */
+/** Interval of bookmark events on an idle watch, in milliseconds; half the client's idle timeout. */
 const BOOKMARK_INTERVAL_MS = 5_000;
-/** A watcher that leaves this much unread, in bytes, is cut off; it resumes from its last revision. */
+/** Watchers with more unread bytes are disconnected; they resume from their last revision. */
 const MAX_UNREAD_BYTES = 1024 * 1024;
 
 export class WatchStreams {
@@ -19,7 +19,7 @@
     private readonly inForceRevision: () => number,
   ) {}
 
-  /** Streams the changes after `from` until the client or the server ends the stream. */
+  /** Streams the changes after revision `from` until the client or the server ends the stream. */
   open(response: ServerResponse, from: number): void {
     response.writeHead(200, {
       'Content-Type': 'application/x-ndjson',
@@ -30,7 +30,7 @@
     void this.follow(response, from);
   }
 
-  /** Ends every stream; clients resume at another replica. */
+  /** Ends all streams; clients resume at another replica. */
   close(): void {
     this.closed = true;
     for (const response of this.openStreams) response.end();
--- a/test/control/declared-sets.test.ts
+++ b/test/control/declared-sets.test.ts
@@ -94,9 +94,9 @@
 
   it('keeps one line of versions through races, resends, snapshots and lagging replicas', () => {
     const step = fc.record({
-      /** Which of the sets sent so far is sent again; a new one when there is none. */
+      /** Index of an earlier set to resend; a new set when it is undefined or out of range. */
       resend: fc.option(fc.nat({ max: 40 }), { nil: undefined }),
-      /** How far the operator's base is behind. */
+      /** Number of accepted versions by which the base is stale. */
       behind: fc.nat({ max: 2 }),
       jump: fc.integer({ min: 1, max: 3 }),
       snapshot: fc.boolean(),
--- a/test/control/large-change.test.ts
+++ b/test/control/large-change.test.ts
@@ -1,4 +1,4 @@
-/** What a replica sends each follower for a change of many routes. */
+/** Guards the size of the sync response that each follower receives for a change of many routes. */
 import { expect } from 'chai';
 import { request } from 'undici';
 import { encodeMessage } from '../../src/common/message-codec.js';
@@ -8,8 +8,8 @@
 
 const ROUTES = 1_500;
 /**
- * 200 followers that all follow one replica get the change over a link of 86 Mbit/s within half a second,
- * a quarter of the time in which it is to be in force.
+ * Maximum size in bytes of one response: 200 followers of one replica must receive the change over a link of 86 Mbit/s within half
+ * a second, a quarter of the time until it must be in force.
  */
 const MOST_BYTES = (86_000_000 / 8 / 200) * 0.5;
 
@@ -46,7 +46,7 @@
     return response.statusCode === 200;
   }
 
-  /** Syncs like a process that has just started. @returns length of the answer's body */
+  /** Syncs as a process that has just started. @returns length of the response body in bytes */
   async function sync(origin: string): Promise<number> {
     const message: SyncRequest = {
       revision: NO_REVISION,
--- a/test/control/member-table.test.ts
+++ b/test/control/member-table.test.ts
@@ -7,7 +7,7 @@
 const LEASE_MS = 3_500;
 const HEARTBEAT_MS = 1_000;
 const HEARTBEATS = 4;
-/** Longest time that a cut holds a heartbeat up. */
+/** Maximum network delay of a heartbeat. */
 const MAX_DELAY_MS = 9_000;
 const ID = 'machine-1';
 
--- a/test/control/old-data-folder.test.ts
+++ b/test/control/old-data-folder.test.ts
@@ -1,7 +1,7 @@
 /**
- * A store that an earlier version has written is to come back whole: every resource, revision and version, the declared
- * sets, and the answers to changes that are sent again. test/fixtures/data-folder was written by
- * test/support/make-data-folder.ts; its steps and the state after them stand beside it. No test writes there.
+ * Guards the stored format: a data folder written by an earlier version must be restored completely (resources, revisions, declared
+ * sets, results of retried changes). test/fixtures/data-folder was written by test/support/make-data-folder.ts and is never modified;
+ * its steps and resulting state are stored beside it.
  */
 import { expect } from 'chai';
 import { hash } from 'node:crypto';
@@ -29,13 +29,13 @@
   snapshot: 'd811b1a60448e00e8dc039be2ebcd9436e17d39499de1d49e2d179eb57a19924',
 };
 
-/** A resource as the resource API gives it. */
+/** A resource as returned by the resource API. */
 interface StoredItem {
   readonly resource: { readonly kind: string; readonly name: string; readonly spec: unknown };
   readonly version: number;
 }
 
-/** The state of a store, as a snapshot holds it. */
+/** The state of a store in the format of a snapshot. */
 interface StoredState {
   readonly revision: number;
   readonly resources: readonly StoredItem[];
@@ -43,14 +43,14 @@
   readonly declarations: readonly { readonly version: number; readonly revision: number }[];
 }
 
-/** A resource as declared in a set. */
+/** A resource of a declared set. */
 type DeclaredItem = StoredItem['resource'];
 
 const STATE = readJson('test/fixtures/data-folder-state.json') as StoredState;
 const STEPS = readJson('test/fixtures/data-folder-steps.json') as readonly {
   readonly steps: readonly { readonly type: string; readonly command: unknown }[];
 }[];
-/** Term of the newest entry of the folder. A replica may stand more than once before its own vote is synced. */
+/** Term of the newest entry in the folder. The restarted replica may need several elections, so its term is only bounded below. */
 const LAST_TERM = 3;
 const SET_KINDS = ['Route', 'Service', 'Ingress', 'Group'];
 const CURRENT_SET = STATE.resources
@@ -90,7 +90,7 @@
       await until(() => replica.isCaughtUp);
     });
 
-    /** The state of the store, read through the bytes of a snapshot. */
+    /** State of the store, decoded from the bytes of a snapshot. */
     function state(): unknown {
       const machine = new StoreMachine(replica.store, () => undefined);
       return JSON.parse(decodedText(machine.takeSnapshot()));
@@ -172,7 +172,7 @@
       const control = await startControl(controlSettingsSchema.parse(settings), SILENT_LOGGER);
       cleanup.add(() => control.stop());
       await untilReady(control);
-      // A leader that has just been elected refuses reads and sets until the first entry of its term is synced.
+      // A newly elected leader refuses reads and sets until the first entry of its term is synced.
       await until(async () => (await call('GET', '/v1/resources')).status === 200);
     });
 
--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-keeper.test.ts
@@ -12,7 +12,7 @@
 const CHECK_MS = 1_000;
 const FINGERPRINT = '0123456789abcdef0123-01234567';
 
-/** A log of one replica that applies at once, as long as it has a quorum. */
+/** Log of a single replica that applies commands immediately while it has a quorum. */
 class TestLog {
   hasQuorum = true;
   role: 'leader' | 'follower' = 'leader';
@@ -58,7 +58,7 @@
     evidence.onNews({ crashes: [report], acquitted: [] });
   }
 
-  /** Lets time pass, with a look of the keeper at its end, and what it writes. */
+  /** Advances the clock, then runs the checks and waits for their proposals. */
   async function advance(durationMs: number): Promise<void> {
     clock.advance(durationMs);
     for (let round = 0; round < 3; round += 1) {
@@ -107,9 +107,8 @@
   });
 
   /**
-   * A quarantine that had ended was put in force again at once, for four times as long, though no target had crashed. The
-   * crashes that had led to it are kept for an hour, to know the request by other callers, and count as crashes on probation.
-   * Settled by: `inForce` true with two terms at the first look after the ten minutes, without a report in between.
+   * Guards against renewing an ended quarantine without a new crash: the crashes that led to it are kept for an hour and must
+   * not count as crashes on probation.
    */
   it('lets a request run again after its time, until one more crash under it', async () => {
     await quarantine();
--- a/test/control/refused-change.test.ts
+++ b/test/control/refused-change.test.ts
@@ -1,7 +1,4 @@
-/**
- * Symptom: an operator reports a change that was refused with 503, and the logs of control say nothing of it. Cause: only
- * results of the store were logged, not refusals by replication.
- */
+/** Guards that changes refused by replication are logged, not only results of the store. */
 import { expect } from 'chai';
 import { hash } from 'node:crypto';
 import { request } from 'undici';
