--- a/src/control/declaration-api.ts
+++ b/src/control/declaration-api.ts
@@ -85,7 +85,7 @@
     const { service, logger } = this.options;
     const baseVersion = Number(base);
     const outcome = await service.declare(document, baseVersion, holder.name);
-    logger.info('A set was answered.', {
+    logger.info('A declaration request was answered.', {
       version: document.version,
       baseVersion,
       resources: document.resources.length,
--- a/src/control/leadership-log.ts
+++ b/src/control/leadership-log.ts
@@ -12,6 +12,6 @@
     const text = `${role} ${leaderId ?? ''}`;
     if (text === this.logged) return;
     this.logged = text;
-    this.logger.info('The role or the leader is another one.', { role, term, leader: leaderId });
+    this.logger.info('Role or leader changed.', { role, term, leader: leaderId });
   }
 }
--- a/src/control/platform-list.ts
+++ b/src/control/platform-list.ts
@@ -51,7 +51,7 @@
       const addresses = await readLeavingAddresses(url);
       if (!this.stopped) onLeaving(addresses);
     } catch (error) {
-      logger.warn('The platform list could not be read.', { url, error: String(error) });
+      logger.warn('Could not read the platform list.', { url, error: String(error) });
     }
     if (!this.stopped) {
       this.timer = clock.schedule(intervalMs, () => void this.readRepeatedly());
@@ -64,7 +64,7 @@
   if (response.statusCode !== HttpStatus.Ok) {
     await response.body.dump();
     // Caught by the reader, which logs it.
-    throw new Error(`status ${response.statusCode}`);
+    throw new Error(`the platform list responded with status ${response.statusCode}`);
   }
   const { machines } = listSchema.parse(await response.body.json());
   const leaving = machines.filter((machine) => machine.state === 'leaving');
--- a/src/control/quarantine-keeper.ts
+++ b/src/control/quarantine-keeper.ts
@@ -72,18 +72,20 @@
     if (this.pendingFingerprints.has(fingerprint)) return;
     if (quarantines.some(({ name }) => name === fingerprint)) return;
     if (quarantines.length + this.pendingFingerprints.size >= MAX_QUARANTINES) {
-      logger.warn('A request crashes targets, and no more can be quarantined.', { fingerprint });
+      logger.warn('A request crashes targets, but the limit of quarantined requests is reached.', {
+        fingerprint,
+      });
       return;
     }
     const crashes = evidence.crashesUnder(fingerprint);
-    logger.warn('A request is quarantined: targets crash under it.', { fingerprint, crashes });
+    logger.warn('Quarantined a request that crashes targets.', { fingerprint, crashes });
     void this.put(fingerprint, 1);
   }
 
   private renew({ name, spec }: QuarantineResource): void {
     if (this.pendingFingerprints.has(name)) return;
     const terms = spec.terms + 1;
-    this.options.logger.warn('A request is quarantined again: a target has crashed under it.', {
+    this.options.logger.warn('Quarantined a request again after another crash.', {
       fingerprint: name,
       terms,
     });
@@ -136,7 +138,7 @@
     });
     this.pendingFingerprints.delete(name);
     if (outcome.type === 'refused') {
-      this.options.logger.warn('A quarantine was not written; it is tried again.', {
+      this.options.logger.warn('Could not write a quarantine; retrying.', {
         fingerprint: name,
         cause: outcome.refusal.type,
       });
--- a/src/control/resource-api.ts
+++ b/src/control/resource-api.ts
@@ -181,12 +181,18 @@
     if (outcome.type === 'refused') {
       const { refusal } = outcome;
       const { type: cause } = refusal;
-      logger.info('A change was answered.', { actor, changeId, change, result: 'refused', cause });
+      logger.info('A change request was answered.', {
+        actor,
+        changeId,
+        change,
+        result: 'refused',
+        cause,
+      });
       writeRefusal(request.response, refusal, pathOf(request), 'may-have-run');
       return;
     }
     const result = outcome.result.type;
-    logger.info('A change was answered.', { actor, changeId, change, result });
+    logger.info('A change request was answered.', { actor, changeId, change, result });
     writeResult(request.response, outcome.result, false);
   }
 
