--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-keeper.test.ts
@@ -34,7 +34,7 @@
   let store: ResourceStore;
   let log: TestLog;
   let evidence: CrashEvidence;
-  let keeper: QuarantineKeeper;
+  let controller: QuarantineKeeper;
   let crashes: number;
 
   beforeEach(() => {
@@ -43,7 +43,7 @@
     log = new TestLog(store);
     evidence = new CrashEvidence(clock);
     crashes = 0;
-    keeper = new QuarantineKeeper({
+    controller = new QuarantineKeeper({
       store,
       log: log as unknown as CommandLog,
       evidence,
@@ -62,7 +62,7 @@
   async function advance(durationMs: number): Promise<void> {
     clock.advance(durationMs);
     for (let round = 0; round < 3; round += 1) {
-      keeper.check();
+      controller.check();
       for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
     }
   }
