--- a/src/control/quarantine-keeper.ts
+++ b/src/control/quarantine-keeper.ts
@@ -1,8 +1,6 @@
 /**
- * On the leader: puts requests in quarantine that crash the targets that run them, and ends each quarantine in time. They
- * are resources of the replicated store: restarted processes know them with their first configuration, and they outlast a
- * loss of power. Decides begin, renewal and end from the evidence (`quarantine/crash-evidence.ts`) and the time of day; owns only
- * which changes are being written.
+ * Runs on the leader: quarantines requests that crash the targets that run them, and ends each quarantine when its term is over.
+ * Quarantines are resources of the replicated store, so they survive restarts and reach processes with their first configuration.
  */
 import { randomUUID } from 'node:crypto';
 import type { Logger } from '../common/logger.js';
@@ -11,100 +9,101 @@
 import type { CommandLog } from './command-log.js';
 import type { ResourceStore } from './resource-store.js';
 
-/** Recorded as the author of changes that control makes itself. */
+/** Actor recorded for changes that control makes itself. */
 const ACTOR = 'shoredoor';
-/** Time of the first quarantine of a request, in milliseconds; each further one is several times as long. */
+/** Duration of the first quarantine of a request, in milliseconds. */
 const FIRST_TERM_MS = 10 * 60_000;
-/** How many times as long as the one before each further quarantine is. */
+/** Factor by which each further term is longer than the one before. */
 const TERM_FACTOR = 4;
-/** Longest time of one quarantine, in milliseconds. */
+/** Maximum duration of one term, in milliseconds. */
 const MAX_TERM_MS = 24 * 60 * 60_000;
-/** Time after a quarantine for which one more crash under the request renews it, in milliseconds. */
+/** Time after a quarantine during which a single further crash renews it, in milliseconds. */
 const PROBATION_MS = 24 * 60 * 60_000;
-/** Requests in quarantine or on probation at once: each costs the store about 200 bytes. */
+/** Maximum number of requests in quarantine or on probation; bounds the size of the store. */
 const MAX_QUARANTINES = 256;
 
-/** What the keeper is made of. */
 export interface QuarantineKeeperOptions {
   readonly store: ResourceStore;
   readonly log: CommandLog;
   readonly evidence: CrashEvidence;
-  /** Milliseconds since 1970: terms outlast restarts. */
+  /** Milliseconds since the Unix epoch; terms continue across restarts. */
   readonly wallClock: () => number;
   readonly logger: Logger;
 }
 
 export class QuarantineKeeper {
-  /** Fingerprints whose change is being written. */
-  private readonly underWay = new Set<string>();
-  private known: readonly QuarantineResource[] = [];
-  /** Of the store, when its quarantines were read. */
-  private knownRevision = -1;
+  /** Fingerprints with a proposal in flight. */
+  private readonly pendingFingerprints = new Set<string>();
+  private quarantines: readonly QuarantineResource[] = [];
+  /** Revision of the store from which `quarantines` was read. */
+  private loadedRevision = -1;
 
   constructor(private readonly options: QuarantineKeeperOptions) {}
 
-  /** Looks at the evidence and the terms once. A replica that does not lead declares nothing. */
+  /** Checks the crash evidence and the terms once. Proposes changes only on the leader. */
   check(): void {
     const { evidence, log } = this.options;
-    this.readKnown();
-    const { known } = this;
+    this.refreshQuarantines();
+    const { quarantines } = this;
     if (log.status().role !== 'leader') return;
-    for (const quarantine of known) {
-      if (this.isDue(quarantine)) this.endTerm(quarantine);
+    for (const quarantine of quarantines) {
+      if (this.isExpired(quarantine)) this.endTerm(quarantine);
       else if (evidence.blamesOnProbation(quarantine.name)) this.renew(quarantine);
     }
     for (const fingerprint of evidence.blamed()) this.begin(fingerprint);
   }
 
-  private readKnown(): void {
+  private refreshQuarantines(): void {
     const { store, evidence } = this.options;
-    if (store.revision === this.knownRevision) return;
-    this.knownRevision = store.revision;
-    this.known = store
+    if (store.revision === this.loadedRevision) return;
+    this.loadedRevision = store.revision;
+    this.quarantines = store
       .list()
       .map(({ resource }) => resource)
       .filter((resource) => resource.kind === 'Quarantine');
     evidence.adopt(
-      this.known.map(({ name, spec }) => ({ fingerprint: name, inForce: spec.inForce })),
+      this.quarantines.map(({ name, spec }) => ({ fingerprint: name, inForce: spec.inForce })),
     );
   }
 
   private begin(fingerprint: string): void {
     const { evidence, logger } = this.options;
-    const { known } = this;
-    if (this.underWay.has(fingerprint)) return;
-    if (known.some(({ name }) => name === fingerprint)) return;
-    if (known.length + this.underWay.size >= MAX_QUARANTINES) {
-      logger.warn('A request crashes targets, and no more can be quarantined.', { fingerprint });
+    const { quarantines } = this;
+    if (this.pendingFingerprints.has(fingerprint)) return;
+    if (quarantines.some(({ name }) => name === fingerprint)) return;
+    if (quarantines.length + this.pendingFingerprints.size >= MAX_QUARANTINES) {
+      logger.warn('A request crashes targets, but the limit of quarantined requests is reached.', {
+        fingerprint,
+      });
       return;
     }
     const crashes = evidence.crashesUnder(fingerprint);
-    logger.warn('A request is quarantined: targets crash under it.', { fingerprint, crashes });
+    logger.warn('Quarantined a request that crashes targets.', { fingerprint, crashes });
     void this.put(fingerprint, 1);
   }
 
   private renew({ name, spec }: QuarantineResource): void {
-    if (this.underWay.has(name)) return;
+    if (this.pendingFingerprints.has(name)) return;
     const terms = spec.terms + 1;
-    this.options.logger.warn('A request is quarantined again: a target has crashed under it.', {
+    this.options.logger.warn('Quarantined a request again after another crash.', {
       fingerprint: name,
       terms,
     });
     void this.put(name, terms);
   }
 
-  private isDue({ spec }: QuarantineResource): boolean {
+  private isExpired({ spec }: QuarantineResource): boolean {
     return this.options.wallClock() >= spec.until;
   }
 
   private endTerm({ name, spec }: QuarantineResource): void {
     const { wallClock, logger } = this.options;
-    if (this.underWay.has(name)) return;
+    if (this.pendingFingerprints.has(name)) return;
     logger.info('The quarantine of a request has ended.', { fingerprint: name, ...spec });
     if (spec.inForce) {
       const until = wallClock() + PROBATION_MS;
       void this.declare(quarantineOf(name, { ...spec, inForce: false, until }));
-    } else void this.forget(name);
+    } else void this.remove(name);
   }
 
   private async put(fingerprint: string, terms: number): Promise<void> {
@@ -117,7 +116,7 @@
     await this.propose(resource.name, { type: 'put', resource });
   }
 
-  private async forget(name: string): Promise<void> {
+  private async remove(name: string): Promise<void> {
     await this.propose(name, { type: 'delete', target: { kind: 'Quarantine', name } });
   }
 
@@ -128,7 +127,7 @@
       | { readonly type: 'delete'; readonly target: { kind: 'Quarantine'; name: string } },
   ): Promise<void> {
     const { log, store, wallClock } = this.options;
-    this.underWay.add(name);
+    this.pendingFingerprints.add(name);
     const current = store.get({ kind: 'Quarantine', name });
     const outcome = await log.propose({
       ...change,
@@ -137,9 +136,9 @@
       at: wallClock(),
       precondition: current?.version ?? 'absent',
     });
-    this.underWay.delete(name);
+    this.pendingFingerprints.delete(name);
     if (outcome.type === 'refused') {
-      this.options.logger.warn('A quarantine was not written; it is tried again.', {
+      this.options.logger.warn('Could not write a quarantine; retrying.', {
         fingerprint: name,
         cause: outcome.refusal.type,
       });
--- a/src/control/quota-keeper.ts
+++ b/src/control/quota-keeper.ts
@@ -1,7 +1,6 @@
 /**
- * The quotas of groups at one control replica: keeps the ledger of what ingresses may let run, with the limits of the
- * configuration here, and answers reports with grants where this replica leads. Decides only whether this replica may grant; how much is decided in
- * `quota/quota-ledger.ts`. Owns the ledger, in memory alone: grants end with their windows.
+ * Answers quota reports of ingresses with grants. Every replica keeps the ledger, with the limits of its configuration, but only
+ * the leader grants. The ledger is in memory only: grants expire with their windows.
  */
 import { handedOutInWindow, type QuotaRule } from '../quota/quota-rule.js';
 import { QuotaLedger } from '../quota/quota-ledger.js';
@@ -11,18 +10,18 @@
 import { GroupTable } from '../policy/group-table.js';
 
 /**
- * A leader grants only while a majority has confirmed it this lately, in milliseconds: one that was deposed steps down
- * within an election timeout.
+ * Maximum time in milliseconds since a majority last confirmed the leader. Without recent confirmation another leader may have
+ * been elected, and both would grant.
  */
 const CONFIRMED_WITHIN_MS = 1_000;
 
 export class QuotaKeeper {
   private readonly ledger: QuotaLedger;
   private groups = new GroupTable();
-  /** Of the store, when its groups were read. */
-  private knownRevision = -1;
+  /** Revision of the store from which `groups` was read. */
+  private loadedRevision = -1;
 
-  /** @param startedAt monotonic milliseconds since which every grant is known here */
+  /** @param startedAt monotonic milliseconds since which the ledger includes every grant */
   constructor(
     private readonly store: ResourceStore,
     private readonly rule: QuotaRule,
@@ -32,29 +31,29 @@
     this.ledger = new QuotaLedger({ windowMs, limitOf: (group) => this.limitOf(group) }, startedAt);
   }
 
-  /** An ingress has reported; undefined where this replica may not grant. */
+  /** Records the report of an ingress and returns its grants; undefined when this replica may not grant. */
   onReport(
     id: string,
     report: QuotaReport,
     { confirmedAgeMs }: Pick<LogStatus, 'confirmedAgeMs'>,
     now: number,
   ): QuotaGrants | undefined {
-    this.readGroups();
+    this.refreshGroups();
     const grants = this.ledger.onReport(id, report, now);
     const mayGrant = confirmedAgeMs !== undefined && confirmedAgeMs <= CONFIRMED_WITHIN_MS;
     return mayGrant ? grants : undefined;
   }
 
-  /** Requests in a window that may be handed out of a group; undefined where it has no limit. */
+  /** Number of requests of a group that may be granted per window; undefined if the group has no limit. */
   limitOf(group: string): number | undefined {
     const rate = this.groups.get(group)?.rate;
     return rate === undefined ? undefined : handedOutInWindow(rate, this.rule);
   }
 
-  private readGroups(): void {
+  private refreshGroups(): void {
     const { store } = this;
-    if (store.revision === this.knownRevision) return;
-    this.knownRevision = store.revision;
+    if (store.revision === this.loadedRevision) return;
+    this.loadedRevision = store.revision;
     this.groups = new GroupTable();
     for (const { resource } of store.list()) {
       if (resource.kind === 'Group') this.groups.addResource(resource);
--- a/src/control/remembered-results.ts
+++ b/src/control/remembered-results.ts
@@ -1,48 +1,48 @@
 /**
- * Answers to recent changes of single resources, so that a change that is sent again with the same id gets the first
- * answer and is not made twice. Owns the list that is part of the replicated state; every replica forgets in the same order.
+ * Results of recent changes by change id, part of the replicated state. A change that is retried with the same id gets the
+ * original result and is not applied twice. Records are evicted in the same order on every replica.
  */
 import { rendezvousScore } from '../common/rendezvous-hash.js';
 import type { ResourceCommand, ResourceResult } from './commands.js';
 
-/** An answer as a snapshot holds it. */
-export interface RememberedResult {
+/** Record of a change and its result, as stored in snapshots. */
+export interface IdempotencyRecord {
   readonly changeId: string;
-  /** Tells a resend from another change that uses the same id. */
+  /** Hash of the change; distinguishes a retry from a different change with the same id. */
   readonly fingerprint: number;
   readonly result: ResourceResult;
 }
 
-/** Answers that are remembered. At 1,800 changes a day, more than five days' worth. */
-const MAX_REMEMBERED = 10_000;
+/** Maximum number of records kept; older changes are no longer recognized as retries. */
+const MAX_RECORDS = 10_000;
 
-export class RememberedResults {
-  private byChangeId = new Map<string, RememberedResult>();
+export class IdempotencyRecords {
+  private byChangeId = new Map<string, IdempotencyRecord>();
 
-  /** The first answer to a change that is sent again; undefined for a change id that is new. */
-  answerTo(command: ResourceCommand): ResourceResult | undefined {
+  /** Returns the original result of a retried change; undefined when the change id is new. */
+  resultFor(command: ResourceCommand): ResourceResult | undefined {
     const earlier = this.byChangeId.get(command.changeId);
     if (earlier === undefined) return undefined;
     if (earlier.fingerprint === fingerprintOf(command)) return earlier.result;
     return { type: 'change-id-reused' };
   }
 
-  /** Keeps the answer to a command, and forgets the oldest one beyond the most that are kept. */
+  /** Records the result of a command and evicts the oldest record when there are too many. */
   record(command: ResourceCommand, result: ResourceResult): void {
     const { changeId } = command;
     this.byChangeId.set(changeId, { changeId, fingerprint: fingerprintOf(command), result });
-    if (this.byChangeId.size <= MAX_REMEMBERED) return;
+    if (this.byChangeId.size <= MAX_RECORDS) return;
     const [oldest] = this.byChangeId.keys();
     if (oldest !== undefined) this.byChangeId.delete(oldest);
   }
 
-  /** Every answer, oldest first. */
-  list(): RememberedResult[] {
+  /** All records, oldest first. */
+  list(): IdempotencyRecord[] {
     return [...this.byChangeId.values()];
   }
 
-  /** Replaces the answers by those of a snapshot. */
-  restore(results: readonly RememberedResult[]): void {
+  /** Replaces the records with those of a snapshot. */
+  restore(results: readonly IdempotencyRecord[]): void {
     this.byChangeId = new Map(results.map((entry) => [entry.changeId, entry]));
   }
 }
--- a/src/control/replication-link.ts
+++ b/src/control/replication-link.ts
@@ -1,6 +1,6 @@
 /**
- * The link between control replicas: one POST a message, answered with no content. A message that is lost is not sent again here:
- * the log repeats what matters. Owns how many messages are under way to each replica.
+ * Transport between control replicas: one HTTP POST per message, answered with 204. Lost messages are not retried here; Raft sends
+ * them again.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { MessageTarget, RaftMessage, RaftTransport } from '../consensus/raft-types.js';
@@ -12,25 +12,25 @@
 
 export const REPLICATION_PATH = '/internal/replication';
 
-/** Longest message, in bytes: a snapshot is the largest. */
+/** Maximum message size in bytes; snapshots are the largest messages. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 const BODY_LIMITS: BodyLimits = {
   bufferBytes: MAX_MESSAGE_BYTES,
   maxBytes: MAX_MESSAGE_BYTES,
   timeoutMs: 10_000,
 };
-/** Messages to one replica that may be under way; a replica that does not answer gets no more. */
-const MAX_UNDER_WAY = 16;
+/** Maximum number of messages in flight to one replica; further messages are dropped. */
+const MAX_IN_FLIGHT = 16;
 
 interface Envelope {
-  /** Identity of the replica that is meant; empty for whoever runs there. */
+  /** Identity of the receiving replica; empty for any replica at the address. */
   readonly to: string;
   readonly message: RaftMessage;
 }
 
-/** Sends messages to replicas over HTTP. */
+/** Sends messages to other replicas. */
 export class ReplicationSender implements RaftTransport {
-  private readonly underWay = new Map<string, number>();
+  private readonly inFlight = new Map<string, number>();
 
   constructor(
     private readonly client: ControlClient,
@@ -38,19 +38,19 @@
   ) {}
 
   send(to: MessageTarget, message: RaftMessage): void {
-    const underWay = this.underWay.get(to.origin) ?? 0;
-    if (underWay >= MAX_UNDER_WAY) return;
-    this.underWay.set(to.origin, underWay + 1);
+    const inFlight = this.inFlight.get(to.origin) ?? 0;
+    if (inFlight >= MAX_IN_FLIGHT) return;
+    this.inFlight.set(to.origin, inFlight + 1);
     const envelope: Envelope = { to: to.identity, message };
     void this.client
       .send(to.origin, REPLICATION_PATH, envelope, { timeoutMs: this.timeoutMs })
       .then(() => {
-        this.underWay.set(to.origin, this.underWay.get(to.origin)! - 1);
+        this.inFlight.set(to.origin, this.inFlight.get(to.origin)! - 1);
       });
   }
 }
 
-/** Takes messages from other replicas. */
+/** Receives messages from other replicas. */
 export class ReplicationReceiver {
   constructor(
     private readonly host: ReplicaHost,
--- a/src/control/sync-packer.ts
+++ b/src/control/sync-packer.ts
@@ -1,6 +1,6 @@
 /**
- * Packs the answers to syncs; followers at the same revision get the same bytes, so that a large change is encoded and compressed
- * once for all of them. Owns those bytes until the next revision.
+ * Encodes sync responses. The packed configuration is cached by the follower's revision, so a large change is encoded and
+ * compressed once for all followers at that revision.
  */
 import {
   packConfiguration,
@@ -10,33 +10,33 @@
 import type { SyncRequest } from '../sync/sync-protocol.js';
 import type { SyncResponder } from './sync-responder.js';
 
-/** Revisions of followers for which the packed news are kept: most are at the newest one or two. */
-const MAX_KEPT = 8;
+/** Maximum number of follower revisions cached; most followers are at one of the latest two. */
+const MAX_CACHED_REVISIONS = 8;
 
 export class SyncPacker {
-  /** Packed news by the follower's revision. */
-  private readonly packed = new Map<number, PackedConfiguration>();
-  /** Revision that the packed news lead to. */
-  private packedRevision = -1;
+  /** Packed configuration by the follower's revision. */
+  private readonly cache = new Map<number, PackedConfiguration>();
+  /** Revision of this replica for which the cache is valid. */
+  private cachedRevision = -1;
 
   constructor(private readonly responder: SyncResponder) {}
 
-  /** Everything that the follower does not have. */
+  /** Packs everything that the follower does not have yet. */
   pack(request: SyncRequest): PackedSync {
     const configuration = this.configuration(request);
-    return { configuration, ...this.responder.endpointNews(request) };
+    return { configuration, ...this.responder.endpointUpdate(request) };
   }
 
   private configuration(request: SyncRequest): PackedConfiguration {
     const { revision } = this.responder;
-    if (revision !== this.packedRevision) this.packed.clear();
-    this.packedRevision = revision;
-    const kept = this.packed.get(request.revision);
-    if (kept !== undefined) return kept;
-    const packed = packConfiguration(this.responder.configurationNews(request));
-    this.packed.set(request.revision, packed);
-    const [oldest] = this.packed.keys();
-    if (this.packed.size > MAX_KEPT && oldest !== undefined) this.packed.delete(oldest);
+    if (revision !== this.cachedRevision) this.cache.clear();
+    this.cachedRevision = revision;
+    const cached = this.cache.get(request.revision);
+    if (cached !== undefined) return cached;
+    const packed = packConfiguration(this.responder.configurationUpdate(request));
+    this.cache.set(request.revision, packed);
+    const [oldest] = this.cache.keys();
+    if (this.cache.size > MAX_CACHED_REVISIONS && oldest !== undefined) this.cache.delete(oldest);
     return packed;
   }
 }
--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-keeper.test.ts
@@ -10,9 +10,9 @@
 
 const MINUTE_MS = 60_000;
 const CHECK_MS = 1_000;
-const BAD = '0123456789abcdef0123-01234567';
+const FINGERPRINT = '0123456789abcdef0123-01234567';
 
-/** A log of one replica that applies at once, as long as it has a quorum. */
+/** Log of a single replica that applies commands immediately while it has a quorum. */
 class TestLog {
   hasQuorum = true;
   role: 'leader' | 'follower' = 'leader';
@@ -34,7 +34,7 @@
   let store: ResourceStore;
   let log: TestLog;
   let evidence: CrashEvidence;
-  let keeper: QuarantineKeeper;
+  let controller: QuarantineKeeper;
   let crashes: number;
 
   beforeEach(() => {
@@ -43,7 +43,7 @@
     log = new TestLog(store);
     evidence = new CrashEvidence(clock);
     crashes = 0;
-    keeper = new QuarantineKeeper({
+    controller = new QuarantineKeeper({
       store,
       log: log as unknown as CommandLog,
       evidence,
@@ -58,32 +58,32 @@
     evidence.onNews({ crashes: [report], acquitted: [] });
   }
 
-  /** Lets time pass, with a look of the keeper at its end, and what it writes. */
-  async function pass(durationMs: number): Promise<void> {
+  /** Advances the clock, then runs the checks and waits for their proposals. */
+  async function advance(durationMs: number): Promise<void> {
     clock.advance(durationMs);
-    for (let look = 0; look < 3; look += 1) {
-      keeper.check();
+    for (let round = 0; round < 3; round += 1) {
+      controller.check();
       for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
     }
   }
 
-  function spec(name = BAD): QuarantineResource['spec'] | undefined {
+  function spec(name = FINGERPRINT): QuarantineResource['spec'] | undefined {
     const resource = store.get({ kind: 'Quarantine', name })?.resource;
     return resource?.kind === 'Quarantine' ? resource.spec : undefined;
   }
 
   async function quarantine(): Promise<void> {
-    for (let each = 0; each < 3; each += 1) crash(BAD);
-    await pass(CHECK_MS);
+    for (let each = 0; each < 3; each += 1) crash(FINGERPRINT);
+    await advance(CHECK_MS);
   }
 
   it('writes a quarantine of ten minutes for a request under three crashes', async () => {
-    crash(BAD);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()).to.equal(undefined);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()).to.deep.equal({
       inForce: true,
       until: clock.now() + 10 * MINUTE_MS,
@@ -96,7 +96,7 @@
     await quarantine();
     expect(spec()).to.equal(undefined);
     log.hasQuorum = true;
-    await pass(MINUTE_MS);
+    await advance(MINUTE_MS);
     expect(spec()?.inForce).to.equal(true);
   });
 
@@ -107,17 +107,16 @@
   });
 
   /**
-   * A quarantine that had ended was put in force again at once, for four times as long, though no target had crashed. The
-   * crashes that had led to it are kept for an hour, to know the request by other callers, and count as crashes on probation.
-   * Settled by: `inForce` true with two terms at the first look after the ten minutes, without a report in between.
+   * Guards against renewing an ended quarantine without a new crash: the crashes that led to it are kept for an hour and must
+   * not count as crashes on probation.
    */
   it('lets a request run again after its time, until one more crash under it', async () => {
     await quarantine();
-    await pass(10 * MINUTE_MS);
-    await pass(CHECK_MS);
+    await advance(10 * MINUTE_MS);
+    await advance(CHECK_MS);
     expect(spec()?.inForce, 'after its time').to.equal(false);
-    crash(BAD);
-    await pass(CHECK_MS);
+    crash(FINGERPRINT);
+    await advance(CHECK_MS);
     expect(spec()?.inForce, 'after one more crash').to.equal(true);
     expect(spec()?.terms).to.equal(2);
   });
@@ -126,7 +125,7 @@
     for (let each = 0; each < 300; each += 1) {
       const name = `${String(each).padStart(20, '0')}-01234567`;
       for (let crashed = 0; crashed < 3; crashed += 1) crash(name);
-      await pass(CHECK_MS);
+      await advance(CHECK_MS);
     }
     expect(store.list()).to.have.length(256);
   });
--- a/test/control/refused-change.test.ts
+++ b/test/control/refused-change.test.ts
@@ -1,7 +1,4 @@
-/**
- * Symptom: an operator reports a change that was refused with 503, and the logs of control say nothing of it. Cause: only
- * results of the store were logged, not refusals by replication.
- */
+/** Guards that changes refused by replication are logged, not only results of the store. */
 import { expect } from 'chai';
 import { hash } from 'node:crypto';
 import { request } from 'undici';
@@ -59,11 +56,11 @@
         body: JSON.stringify({ kind: 'Service', name: 'cellar', spec: { connections: 8 } }),
       });
       await response.body.dump();
-      const lines = captured.of('api: A change was answered.');
+      const lines = captured.of('api: A change request was answered.');
       expect(lines.filter(({ changeId }) => changeId === each.type)).to.deep.equal([
         {
           level: INFO,
-          msg: 'api: A change was answered.',
+          msg: 'api: A change request was answered.',
           actor: 'writer',
           changeId: each.type,
           change: 'put',
