--- a/src/edge/edge-server.ts
+++ b/src/edge/edge-server.ts
@@ -43,14 +43,14 @@
 const BEARER_PREFIX = 'bearer ';
 const API_KEY_HEADER = 'x-api-key';
 /** Requests that are refused before they have a kind are counted under this name. */
-const UNMATCHED = 'unmatched';
+const UNMATCHED_KIND = 'unmatched';
 const BODY_DETAILS: Record<BodyRefusalReason, string> = {
   'too-large': 'The request body is too large.',
   'request-timeout': 'The request body came too slowly.',
 };
 
 /** The API key that a caller presents, or undefined. */
-function presentedKey(message: IncomingMessage): string | undefined {
+function getApiKey(message: IncomingMessage): string | undefined {
   const direct = message.headers[API_KEY_HEADER];
   if (typeof direct === 'string') return direct;
   const authorization = message.headers.authorization;
@@ -91,16 +91,16 @@
       this.refuseEarly(response, requestId, 'overload', 'The edge is at its limit.');
       return;
     }
-    const context = this.mintContext(message, requestId, group, kind);
+    const context = this.createContext(message, requestId, group, kind);
     new EdgeExchange(this.options, message, response, context, kind).start();
   };
 
   private findGroup(table: PolicyTable, message: IncomingMessage): Group | undefined {
-    const key = presentedKey(message);
+    const key = getApiKey(message);
     return table.groupOfKeyHash(key === undefined ? undefined : hash('sha256', key, 'hex'));
   }
 
-  private mintContext(
+  private createContext(
     message: IncomingMessage,
     requestId: string,
     group: Group,
@@ -117,9 +117,9 @@
     reason: RefusalReason,
     detail: string,
   ): void {
-    const passesSoon = reason === 'overload' || reason === 'not-ready';
-    const retryAfterSeconds = passesSoon ? SOON_SECONDS : NO_RETRY_AFTER;
-    this.options.stats.kind(UNMATCHED).onRefused(reason);
+    const isTransient = reason === 'overload' || reason === 'not-ready';
+    const retryAfterSeconds = isTransient ? SOON_SECONDS : NO_RETRY_AFTER;
+    this.options.stats.kind(UNMATCHED_KIND).onRefused(reason);
     writeRefusal(response, { reason, verdict: 'not-run', retryAfterSeconds, detail }, requestId);
   }
 }
--- a/src/link/answer-fields.ts
+++ b/src/link/answer-fields.ts
@@ -5,7 +5,7 @@
  */
 import type { AnswerFrame, HeadFrame } from './link-frames.js';
 import { FrameCode } from './frame-code.js';
-import { bytesOf, joinTexts, splitTexts } from './frame-fields.js';
+import { toBuffer, joinStrings, splitStrings } from './frame-fields.js';
 import { fromOutcomeFields, toOutcomeFields, type OutcomeFields } from './outcome-fields.js';
 
 /** In this order on the wire. */
@@ -27,14 +27,14 @@
     FrameCode.Head,
     frame.id,
     frame.status,
-    joinTexts(frame.headers),
+    joinStrings(frame.headers),
     toOutcomeFields(frame.outcome),
   ];
 }
 
 /** The head with these fields. */
 export function fromHeadFields(fields: HeadFields): HeadFrame {
-  return { type: 'head', ...headOf(fields) };
+  return { type: 'head', ...decodeHead(fields) };
 }
 
 /** The fields of a whole answer. */
@@ -43,7 +43,7 @@
     FrameCode.Answer,
     frame.id,
     frame.status,
-    joinTexts(frame.headers),
+    joinStrings(frame.headers),
     toOutcomeFields(frame.outcome),
     frame.body,
   ];
@@ -52,17 +52,17 @@
 /** The whole answer with these fields. */
 export function fromAnswerFields(fields: AnswerFields): AnswerFrame {
   const [, , , , , body] = fields;
-  return { type: 'answer', ...headOf(fields), body: bytesOf(body) };
+  return { type: 'answer', ...decodeHead(fields), body: toBuffer(body) };
 }
 
-function headOf([, id, status, headers, outcome]: HeadFields | AnswerFields): Omit<
+function decodeHead([, id, status, headers, outcome]: HeadFields | AnswerFields): Omit<
   HeadFrame,
   'type'
 > {
   return {
     id,
     status,
-    headers: headers === '' ? [] : splitTexts(headers),
+    headers: headers === '' ? [] : splitStrings(headers),
     outcome: fromOutcomeFields(outcome),
   };
 }
--- a/src/link/body-window.ts
+++ b/src/link/body-window.ts
@@ -8,18 +8,18 @@
 
 export class BodyWindow {
   /** Bytes that were sent and not yet reported as taken. */
-  private underWay = 0;
+  private inFlightBytes = 0;
 
   /** Whether more may be sent now. */
   get isOpen(): boolean {
-    return this.underWay < BODY_WINDOW_BYTES;
+    return this.inFlightBytes < BODY_WINDOW_BYTES;
   }
 
   onSent(bytes: number): void {
-    this.underWay += bytes;
+    this.inFlightBytes += bytes;
   }
 
-  onTaken(bytes: number): void {
-    this.underWay = Math.max(0, this.underWay - bytes);
+  onAcknowledged(bytes: number): void {
+    this.inFlightBytes = Math.max(0, this.inFlightBytes - bytes);
   }
 }
--- a/src/link/call-fields.ts
+++ b/src/link/call-fields.ts
@@ -6,7 +6,7 @@
  */
 import type { CallFrame } from './link-frames.js';
 import { FrameCode } from './frame-code.js';
-import { bytesOf, fromPercent, joinTexts, splitTexts, toPercent } from './frame-fields.js';
+import { toBuffer, fromPercent, joinStrings, splitStrings, toPercent } from './frame-fields.js';
 
 /** How the body of a call arrives. The numbers are on the wire. */
 enum BodyForm {
@@ -21,7 +21,7 @@
 export type CallFields = [
   code: FrameCode.Call,
   id: number,
-  /** The texts of a head, see {@link CallTexts}. */
+  /** The texts of a head, see {@link CallHeadStrings}. */
   texts: string,
   importance: number,
   deadlineMs: number,
@@ -43,7 +43,7 @@
 ];
 
 /** The texts of a call's head, in this order on the wire. */
-type CallTexts = [
+type CallHeadStrings = [
   requestId: string,
   kind: string,
   service: string,
@@ -60,7 +60,7 @@
   const fields: CallFields = [
     FrameCode.Call,
     id,
-    joinTexts([requestId, kind, service, method, path, ...headers]),
+    joinStrings([requestId, kind, service, method, path, ...headers]),
     context.importance,
     context.deadlineMs,
     context.waitMs,
@@ -68,7 +68,7 @@
     context.retries,
     context.isRepeat,
     toPercent(context.inheritedShare),
-    bodyFormOf(body),
+    getBodyForm(body),
     body ?? null,
     context.answerMarginMs,
     context.fingerprint,
@@ -98,7 +98,9 @@
     groupRank = 0,
     clientWaitedMs,
   ] = fields;
-  const [requestId, kind, service, method, path, ...headers] = splitTexts(texts) as CallTexts;
+  const [requestId, kind, service, method, path, ...headers] = splitStrings(
+    texts,
+  ) as CallHeadStrings;
   const frame: CallFrame = {
     type: 'call',
     id,
@@ -123,10 +125,10 @@
     headers,
   };
   if (form === BodyForm.Stream) return frame;
-  return { ...frame, body: form === BodyForm.None ? null : bytesOf(body) };
+  return { ...frame, body: form === BodyForm.None ? null : toBuffer(body) };
 }
 
-function bodyFormOf(body: CallFrame['body']): BodyForm {
+function getBodyForm(body: CallFrame['body']): BodyForm {
   if (body === undefined) return BodyForm.Stream;
   return body === null ? BodyForm.None : BodyForm.Whole;
 }
--- a/src/link/calls-under-way.ts
+++ b/src/link/calls-under-way.ts
@@ -6,7 +6,7 @@
  */
 import type { LinkConnection } from './link-connection.js';
 
-export class CallsUnderWay<Call> {
+export class InFlightCalls<Call> {
   private readonly calls = new Map<number, Call>();
 
   constructor(private readonly connection: LinkConnection) {}
@@ -25,13 +25,13 @@
 
   add(id: number, call: Call): void {
     this.calls.set(id, call);
-    this.connection.watchPeer(true);
+    this.connection.setBusy(true);
   }
 
   /** Forgets a call. @returns whether it was under way */
   release(id: number): boolean {
     const existed = this.calls.delete(id);
-    if (this.isEmpty) this.connection.watchPeer(false);
+    if (this.isEmpty) this.connection.setBusy(false);
     return existed;
   }
 
@@ -39,7 +39,7 @@
   releaseAll(): Call[] {
     const calls = [...this.calls.values()];
     this.calls.clear();
-    this.connection.watchPeer(false);
+    this.connection.setBusy(false);
     return calls;
   }
 }
--- a/src/link/frame-codec.ts
+++ b/src/link/frame-codec.ts
@@ -17,7 +17,7 @@
 } from './answer-fields.js';
 import { fromCallFields, toCallFields, type CallFields } from './call-fields.js';
 import { FrameCode } from './frame-code.js';
-import { bytesOf } from './frame-fields.js';
+import { toBuffer } from './frame-fields.js';
 import type { LinkFrame } from './link-frames.js';
 import { fromOutcomeFields, toOutcomeFields, type OutcomeFields } from './outcome-fields.js';
 
@@ -38,14 +38,14 @@
 
 /** Cuts what arrives into frames. */
 export class FrameReader {
-  private rest: Buffer = Buffer.alloc(0);
+  private unreadBytes: Buffer = Buffer.alloc(0);
 
   /**
    * The frames that are whole with these bytes.
    * @throws when a frame is larger than any that is sent, not msgpack, or of no known kind
    */
   read(bytes: Buffer): LinkFrame[] {
-    const buffer = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
+    const buffer = this.unreadBytes.length === 0 ? bytes : Buffer.concat([this.unreadBytes, bytes]);
     const frames: LinkFrame[] = [];
     let offset = 0;
     while (buffer.length - offset >= LENGTH_BYTES) {
@@ -57,7 +57,7 @@
       frames.push(fromFields(fields));
       offset = end;
     }
-    this.rest = buffer.subarray(offset);
+    this.unreadBytes = buffer.subarray(offset);
     return frames;
   }
 }
@@ -106,7 +106,7 @@
     case FrameCode.Refused:
       return { type: 'refused', id, outcome: fromOutcomeFields(value as OutcomeFields) };
     case FrameCode.Data:
-      return { type: 'data', id, bytes: bytesOf(value) };
+      return { type: 'data', id, bytes: toBuffer(value) };
     case FrameCode.End:
       return { type: 'end', id };
     case FrameCode.Broken:
--- a/src/link/frame-fields.ts
+++ b/src/link/frame-fields.ts
@@ -6,32 +6,32 @@
  */
 
 /** No text of a head can contain it (RFC 9112, section 2.2). */
-const LINE_END = '\n';
+const STRING_SEPARATOR = '\n';
 /** Shares travel as whole hundredths: one byte in place of nine. */
-const PERCENT = 100;
+const PERCENT_SCALE = 100;
 
 /** Several texts as one: many short texts cost more processor time than all else about a frame. */
-export function joinTexts(texts: readonly string[]): string {
-  return texts.join(LINE_END);
+export function joinStrings(texts: readonly string[]): string {
+  return texts.join(STRING_SEPARATOR);
 }
 
-/** The texts of {@link joinTexts}; an empty one is a single empty text. */
-export function splitTexts(joined: string): string[] {
-  return joined.split(LINE_END);
+/** The texts of {@link joinStrings}; an empty one is a single empty text. */
+export function splitStrings(text: string): string[] {
+  return text.split(STRING_SEPARATOR);
 }
 
 /** A share from 0 to 1 as whole hundredths. */
 export function toPercent(share: number): number {
-  return Math.round(share * PERCENT);
+  return Math.round(share * PERCENT_SCALE);
 }
 
 /** A share from 0 to 1 that travelled as whole hundredths. */
 export function fromPercent(percent: number): number {
-  return percent / PERCENT;
+  return percent / PERCENT_SCALE;
 }
 
 /** The bytes of a field as a Buffer, without a copy. */
-export function bytesOf(value: unknown): Buffer {
+export function toBuffer(value: unknown): Buffer {
   if (Buffer.isBuffer(value)) return value;
   const bytes = value as Uint8Array;
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
--- a/src/link/incoming-link-call.ts
+++ b/src/link/incoming-link-call.ts
@@ -14,13 +14,13 @@
 import type { PendingFrame } from './link-connection.js';
 import type { CallFrame, HeadFrame, LinkFrame } from './link-frames.js';
 
-const NO_BYTES = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
 /** Takes the calls that arrive. */
 export type LinkCallHandler = (call: IncomingLinkCall) => void;
 
 /** What an arrived call needs of its link. */
-interface AnsweringLink {
+interface CalledSideLink {
   send(frame: LinkFrame): void;
   /** Has `pending` send its frame at the end of this turn of the event loop. */
   sendLater(pending: PendingFrame): void;
@@ -36,7 +36,7 @@
   readonly body: Buffer | Readable | null;
   private readonly window = new BodyWindow();
   /** The body where it is a stream. */
-  private readonly incoming: Readable | undefined;
+  private readonly bodyStream: Readable | undefined;
   /** The head of the answer, until it is known whether the rest comes in the same turn. */
   private pendingHead: HeadFrame | undefined;
   /** The first part of the body, if it came in the turn of the head. */
@@ -44,12 +44,12 @@
 
   constructor(
     readonly frame: CallFrame,
-    private readonly link: AnsweringLink,
+    private readonly link: CalledSideLink,
   ) {
     super();
     if (frame.body === undefined) {
-      this.incoming = new Readable({ read: () => undefined });
-      this.body = this.incoming;
+      this.bodyStream = new Readable({ read: () => undefined });
+      this.body = this.bodyStream;
     } else this.body = frame.body;
   }
 
@@ -96,7 +96,7 @@
     this.pendingHead = undefined;
     if (!this.link.release(id)) return;
     if (pendingHead === undefined) this.link.send({ type: 'end', id });
-    else this.link.send({ ...pendingHead, type: 'answer', body: pendingBody ?? NO_BYTES });
+    else this.link.send({ ...pendingHead, type: 'answer', body: pendingBody ?? EMPTY_BODY });
   }
 
   destroy(): void {
@@ -108,20 +108,20 @@
   onFrame(frame: LinkFrame): void {
     switch (frame.type) {
       case 'cancel':
-        this.onCallerGone();
+        this.onCancelled();
         return;
       case 'taken':
-        this.window.onTaken(frame.bytes);
+        this.window.onAcknowledged(frame.bytes);
         if (this.window.isOpen) this.emit('drain');
         return;
       case 'data':
-        this.onBody(frame.bytes);
+        this.onBodyData(frame.bytes);
         return;
       case 'end':
-        this.incoming?.push(null);
+        this.bodyStream?.push(null);
         return;
       case 'broken':
-        this.stopBody('the body broke off');
+        this.destroyBody('the body broke off');
         return;
       default:
       // Only the calling side gets the others.
@@ -129,26 +129,26 @@
   }
 
   /** The caller, or its connection, is gone. */
-  onCallerGone(): void {
+  onCancelled(): void {
     this.link.release(this.frame.id);
     this.pendingHead = undefined;
-    this.stopBody('the caller is gone');
+    this.destroyBody('the caller is gone');
     this.emit('cancel');
   }
 
   /** A body that streams in will not be whole: undici breaks off the request to the target that carries it. */
-  private stopBody(reason: string): void {
+  private destroyBody(reason: string): void {
     // Undici alone sees this error, and looks at neither class nor code.
-    this.incoming?.destroy(new Error(reason));
+    this.bodyStream?.destroy(new Error(reason));
   }
 
-  private onBody(bytes: Buffer): void {
-    const { incoming } = this;
-    if (incoming === undefined || incoming.destroyed) return;
-    incoming.push(bytes);
+  private onBodyData(bytes: Buffer): void {
+    const { bodyStream } = this;
+    if (bodyStream === undefined || bodyStream.destroyed) return;
+    bodyStream.push(bytes);
     const { id } = this.frame;
-    const report = (): void => this.link.send({ type: 'taken', id, bytes: bytes.length });
-    if (incoming.readableLength <= incoming.readableHighWaterMark) report();
-    else incoming.once('readable', report);
+    const acknowledge = (): void => this.link.send({ type: 'taken', id, bytes: bytes.length });
+    if (bodyStream.readableLength <= bodyStream.readableHighWaterMark) acknowledge();
+    else bodyStream.once('readable', acknowledge);
   }
 }
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -9,7 +9,7 @@
 import type { Socket } from 'node:net';
 import { encodeFrame, FrameReader } from './frame-codec.js';
 import type { LinkFrame } from './link-frames.js';
-import type { PeerWatch, WatchedPeer } from './peer-watch.js';
+import type { HeartbeatMonitor, MonitoredPeer } from './peer-watch.js';
 
 /** Told what happens on a connection. */
 export interface LinkConnectionListener {
@@ -24,15 +24,15 @@
   sendPending(): void;
 }
 
-export class LinkConnection implements WatchedPeer {
+export class LinkConnection implements MonitoredPeer {
   private readonly reader = new FrameReader();
   /** Frames of this turn, not written yet. */
-  private unsent: Buffer[] = [];
+  private unsentFrames: Buffer[] = [];
   private flushScheduled = false;
   /** What still has a frame to send at the end of this turn. */
-  private pending: PendingFrame[] = [];
+  private pendingFrames: PendingFrame[] = [];
   silentSince = SYSTEM_CLOCK.now();
-  pingedAt = -Infinity;
+  lastPingAt = -Infinity;
   isSuspect = false;
   /** Monotonic milliseconds at which anything last arrived, or the connection was made. */
   lastReceivedAt = SYSTEM_CLOCK.now();
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly socket: Socket,
-    private readonly watch: PeerWatch,
+    private readonly heartbeats: HeartbeatMonitor,
     private readonly listener: LinkConnectionListener,
   ) {
     socket.setNoDelay(true);
@@ -53,20 +53,20 @@
   /** Sends a frame with the others of this turn. */
   send(frame: LinkFrame): void {
     if (this.closed) return;
-    this.unsent.push(encodeFrame(frame));
+    this.unsentFrames.push(encodeFrame(frame));
     this.scheduleFlush();
   }
 
   /** Has `pending` send its frame at the end of this turn. */
   sendLater(pending: PendingFrame): void {
-    this.pending.push(pending);
+    this.pendingFrames.push(pending);
     this.scheduleFlush();
   }
 
   /** While calls are under way, the peer is looked after. */
-  watchPeer(isBusy: boolean): void {
-    if (isBusy && !this.closed) this.watch.add(this);
-    else this.watch.remove(this);
+  setBusy(isBusy: boolean): void {
+    if (isBusy && !this.closed) this.heartbeats.add(this);
+    else this.heartbeats.remove(this);
   }
 
   ping(): void {
@@ -83,7 +83,7 @@
   close(): void {
     if (this.closed) return;
     this.closed = true;
-    this.watch.remove(this);
+    this.heartbeats.remove(this);
     this.socket.destroy();
     this.listener.onClose();
   }
@@ -95,14 +95,14 @@
   }
 
   private flush(): void {
-    const { pending } = this;
-    this.pending = [];
-    for (const each of pending) each.sendPending();
+    const { pendingFrames } = this;
+    this.pendingFrames = [];
+    for (const each of pendingFrames) each.sendPending();
     this.flushScheduled = false;
-    const { unsent } = this;
-    this.unsent = [];
-    if (this.closed || unsent.length === 0) return;
-    this.socket.write(unsent.length === 1 ? unsent[0]! : Buffer.concat(unsent));
+    const { unsentFrames } = this;
+    this.unsentFrames = [];
+    if (this.closed || unsentFrames.length === 0) return;
+    this.socket.write(unsentFrames.length === 1 ? unsentFrames[0]! : Buffer.concat(unsentFrames));
   }
 
   private onData(bytes: Buffer): void {
--- a/src/link/link-pool.ts
+++ b/src/link/link-pool.ts
@@ -6,11 +6,11 @@
  */
 import type { LinkCall, LinkCallListener, LinkStream } from './link-stream.js';
 import { PeerLink } from './peer-link.js';
-import { PeerWatch } from './peer-watch.js';
+import { HeartbeatMonitor } from './peer-watch.js';
 
 export class LinkPool {
   private readonly links = new Map<string, PeerLink>();
-  private readonly watch = new PeerWatch();
+  private readonly heartbeats = new HeartbeatMonitor();
 
   constructor(private readonly token: string) {}
 
@@ -19,8 +19,8 @@
    * @returns undefined, and the listener is never called, if that sidecar has fallen silent
    */
   call(origin: string, call: LinkCall, listener: LinkCallListener): LinkStream | undefined {
-    const link = this.link(origin);
-    return link.isSuspect ? undefined : link.call(call, listener);
+    const getOrCreateLink = this.link(origin);
+    return getOrCreateLink.isSuspect ? undefined : getOrCreateLink.call(call, listener);
   }
 
   /** Closes links to origins that are no longer used, unless calls are under way there. */
@@ -43,7 +43,7 @@
   private link(origin: string): PeerLink {
     const existing = this.links.get(origin);
     if (existing !== undefined) return existing;
-    const link: PeerLink = new PeerLink(origin, this.token, this.watch, () => {
+    const link: PeerLink = new PeerLink(origin, this.token, this.heartbeats, () => {
       if (this.links.get(origin) === link) this.links.delete(origin);
     });
     this.links.set(origin, link);
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -7,12 +7,12 @@
 import { createServer, type Server } from 'node:net';
 import { listen, type ListenAddress } from '../http/listen.js';
 import type { LinkCallHandler } from './incoming-link-call.js';
-import { PeerWatch } from './peer-watch.js';
+import { HeartbeatMonitor } from './peer-watch.js';
 import { ServerLink } from './server-link.js';
 
 export class LinkServer {
   private readonly links = new Set<ServerLink>();
-  private readonly watch = new PeerWatch();
+  private readonly heartbeats = new HeartbeatMonitor();
 
   private constructor(
     private readonly server: Server,
@@ -29,7 +29,7 @@
     const server = createServer();
     const started = new LinkServer(server, await listen(server, address));
     server.on('connection', (socket) => {
-      const link: ServerLink = new ServerLink(socket, started.watch, token, handler, () =>
+      const link: ServerLink = new ServerLink(socket, started.heartbeats, token, handler, () =>
         started.links.delete(link),
       );
       started.links.add(link);
--- a/src/link/link-stream.ts
+++ b/src/link/link-stream.ts
@@ -27,7 +27,7 @@
   onAnswer(status: number, headers: RawHeaders, outcome: Outcome, body: Buffer): void;
   onHead(status: number, headers: RawHeaders, outcome: Outcome): void;
   onRefused(outcome: Outcome): void;
-  /** @returns whether the bytes are taken; if not, {@link LinkStream.taken} follows later */
+  /** @returns whether the bytes are taken; if not, {@link LinkStream.acknowledge} follows later */
   onData(bytes: Buffer): boolean;
   onEnd(): void;
   /** @param written whether the peer may have got the call */
@@ -35,45 +35,45 @@
 }
 
 /** What a call needs of its link. */
-interface CallingLink {
+interface CallerSideLink {
   /** Whether frames are written at once. */
   readonly isOpen: boolean;
   /** Whether the call is under way. */
   has(id: number): boolean;
   send(frame: LinkFrame): void;
   /** Tells the peer that a call is over; one that has not been written yet is never sent. */
-  withdraw(id: number): void;
+  cancelCall(id: number): void;
   /** Forgets a call. @returns whether it was under way */
   release(id: number): boolean;
 }
 
 /** Bytes of an answer that are passed on before the peer is told, so that most answers need no frame for it. */
-const REPORT_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
+const ACKNOWLEDGE_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
 
 export class LinkStream {
   private readonly window = new BodyWindow();
   /** Continues {@link sendBody}, which waits for its window. */
   private resumeBody: (() => void) | undefined;
   /** Bytes that were taken and not reported yet. */
-  private unreported = 0;
+  private unacknowledgedBytes = 0;
 
   constructor(
-    private readonly link: CallingLink,
+    private readonly link: CallerSideLink,
     private readonly id: number,
     readonly listener: LinkCallListener,
   ) {}
 
   /** Stops the call. The listener is not called any more. */
   cancel(): void {
-    if (this.link.release(this.id)) this.link.withdraw(this.id);
+    if (this.link.release(this.id)) this.link.cancelCall(this.id);
   }
 
   /** The bytes of an answer have been passed on. */
-  taken(bytes: number): void {
-    this.unreported += bytes;
-    if (this.unreported < REPORT_AFTER_BYTES) return;
-    this.link.send({ type: 'taken', id: this.id, bytes: this.unreported });
-    this.unreported = 0;
+  acknowledge(bytes: number): void {
+    this.unacknowledgedBytes += bytes;
+    if (this.unacknowledgedBytes < ACKNOWLEDGE_AFTER_BYTES) return;
+    this.link.send({ type: 'taken', id: this.id, bytes: this.unacknowledgedBytes });
+    this.unacknowledgedBytes = 0;
   }
 
   /** Whether the peer may have got the call. */
@@ -96,7 +96,7 @@
         listener.onRefused(frame.outcome);
         return;
       case 'data':
-        if (listener.onData(frame.bytes)) this.taken(frame.bytes.length);
+        if (listener.onData(frame.bytes)) this.acknowledge(frame.bytes.length);
         return;
       case 'end':
         link.release(id);
@@ -107,7 +107,7 @@
         listener.onFailure(true);
         return;
       case 'taken':
-        this.window.onTaken(frame.bytes);
+        this.window.onAcknowledged(frame.bytes);
         this.resumeBody?.();
         return;
       case 'call':
@@ -123,7 +123,7 @@
       for await (const chunk of body as AsyncIterable<Buffer>) {
         link.send({ type: 'data', id, bytes: chunk });
         this.window.onSent(chunk.length);
-        while (!this.window.isOpen && link.has(id)) await this.untilTaken();
+        while (!this.window.isOpen && link.has(id)) await this.waitForAcknowledgement();
         if (!link.has(id)) return;
       }
       link.send({ type: 'end', id });
@@ -139,7 +139,7 @@
     this.listener.onFailure(wasConnected);
   }
 
-  private untilTaken(): Promise<void> {
+  private waitForAcknowledgement(): Promise<void> {
     return new Promise((resolve) => {
       this.resumeBody = resolve;
     });
--- a/src/link/peer-link.ts
+++ b/src/link/peer-link.ts
@@ -7,11 +7,11 @@
 import { connect, type Socket } from 'node:net';
 import { Readable } from 'node:stream';
 import { SYSTEM_CLOCK } from '../common/clock.js';
-import { CallsUnderWay } from './calls-under-way.js';
+import { InFlightCalls } from './calls-under-way.js';
 import { LinkConnection } from './link-connection.js';
 import type { LinkFrame } from './link-frames.js';
 import { LinkStream, type LinkCall, type LinkCallListener } from './link-stream.js';
-import type { PeerWatch } from './peer-watch.js';
+import type { HeartbeatMonitor } from './peer-watch.js';
 
 /** Longest wait for a connection to be made, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 500;
@@ -35,24 +35,24 @@
   private state: LinkState = 'connecting';
   private probeTimer: NodeJS.Timeout | undefined;
   private readonly connection: LinkConnection;
-  private readonly calls: CallsUnderWay<LinkStream>;
+  private readonly calls: InFlightCalls<LinkStream>;
   private nextId = 1;
   /** Frames that wait until the link is open. */
-  private waiting: LinkFrame[] = [];
+  private queuedFrames: LinkFrame[] = [];
 
   constructor(
     origin: string,
     private readonly token: string,
-    watch: PeerWatch,
+    heartbeats: HeartbeatMonitor,
     private readonly onClosed: () => void,
   ) {
     const { hostname, port } = new URL(origin);
     const socket = connect({ host: hostname, port: Number(port) });
-    this.connection = new LinkConnection(socket, watch, {
+    this.connection = new LinkConnection(socket, heartbeats, {
       onFrame: (frame) => this.onFrame(frame),
       onClose: () => this.onClose(),
     });
-    this.calls = new CallsUnderWay(this.connection);
+    this.calls = new InFlightCalls(this.connection);
     this.awaitConnection(socket);
   }
 
@@ -90,13 +90,14 @@
 
   send(frame: LinkFrame): void {
     if (this.isOpen) this.connection.send(frame);
-    else this.waiting.push(frame);
+    else this.queuedFrames.push(frame);
   }
 
   /** Tells the peer that a call is over; one that has not been written yet is never sent. */
-  withdraw(id: number): void {
+  cancelCall(id: number): void {
     if (this.isOpen) this.connection.send({ type: 'cancel', id });
-    else this.waiting = this.waiting.filter((frame) => !('id' in frame) || frame.id !== id);
+    else
+      this.queuedFrames = this.queuedFrames.filter((frame) => !('id' in frame) || frame.id !== id);
   }
 
   /** Forgets a call. @returns whether it was under way */
@@ -124,8 +125,8 @@
 
   private open(): void {
     this.state = 'open';
-    for (const frame of this.waiting) this.connection.send(frame);
-    this.waiting = [];
+    for (const frame of this.queuedFrames) this.connection.send(frame);
+    this.queuedFrames = [];
   }
 
   private probeIfStale(): void {
--- a/src/link/peer-transport.ts
+++ b/src/link/peer-transport.ts
@@ -99,7 +99,7 @@
   stream: LinkStream | undefined;
   private state: AttemptState = 'waiting';
   /** Bytes that the caller has not taken yet. */
-  private held = 0;
+  private bufferedBytes = 0;
 
   constructor(
     private readonly response: ServerResponse,
@@ -140,8 +140,8 @@
 
   onData(bytes: Buffer): boolean {
     if (this.state === 'over' || this.response.write(bytes)) return true;
-    if (this.held === 0) this.response.once('drain', () => this.onDrain());
-    this.held += bytes.length;
+    if (this.bufferedBytes === 0) this.response.once('drain', () => this.onDrain());
+    this.bufferedBytes += bytes.length;
     return false;
   }
 
@@ -163,8 +163,8 @@
   }
 
   private onDrain(): void {
-    const { held } = this;
-    this.held = 0;
-    this.stream?.taken(held);
+    const { bufferedBytes } = this;
+    this.bufferedBytes = 0;
+    this.stream?.acknowledge(bufferedBytes);
   }
 }
--- a/src/link/peer-watch.ts
+++ b/src/link/peer-watch.ts
@@ -4,9 +4,9 @@
  *
  * | silent for                    | what happens                                               |
  * | ----------------------------- | ---------------------------------------------------------- |
- * | {@link PING_AFTER_MS}         | it is pinged, and again each {@link PING_GAP_MS}           |
+ * | {@link PING_AFTER_MS}         | it is pinged, and again each {@link MIN_PING_INTERVAL_MS}           |
  * | {@link SUSPECT_AFTER_MS}      | it gets no new calls                                       |
- * | {@link GIVE_UP_AFTER_MS}      | the connection is closed; its calls end as "may have run"  |
+ * | {@link CLOSE_AFTER_MS}      | the connection is closed; its calls end as "may have run"  |
  *
  * For: `link-pool.ts` and `link-server.ts`. Owns: the timer and the set of busy peers. Relies on: each connection to note
  * when anything arrived.
@@ -14,11 +14,11 @@
 import { SYSTEM_CLOCK } from '../common/clock.js';
 
 /** A connection whose peer is watched while calls are under way. */
-export interface WatchedPeer {
+export interface MonitoredPeer {
   /** Monotonic milliseconds since which the peer is silent: anything last arrived, or its connection became busy. */
   silentSince: number;
   /** Monotonic milliseconds at which it was last asked for a sign of life. */
-  pingedAt: number;
+  lastPingAt: number;
   /** Whether the peer has been silent for so long that it is to get no new calls. */
   isSuspect: boolean;
   ping(): void;
@@ -41,31 +41,31 @@
  * Silence after which the link is given up, in milliseconds: longer than a way there and back between regions and than a
  * stall of either process (docs/PROOFS.md).
  */
-const GIVE_UP_AFTER_MS = 1_400;
+const CLOSE_AFTER_MS = 1_400;
 /**
  * A check that comes this long after the one before means that this process stood still, not its peers. In milliseconds.
  */
-const LATE_CHECK_MS = 250;
+const STALL_THRESHOLD_MS = 250;
 /** Least time from one ping to the next, in milliseconds: a peer may work on a call for long. */
-const PING_GAP_MS = 250;
+const MIN_PING_INTERVAL_MS = 250;
 
-export class PeerWatch {
-  private readonly peers = new Set<WatchedPeer>();
+export class HeartbeatMonitor {
+  private readonly peers = new Set<MonitoredPeer>();
   private timer: NodeJS.Timeout | undefined;
-  private checkedAt = 0;
+  private lastCheckAt = 0;
 
   /** Watches a peer from now on. */
-  add(peer: WatchedPeer): void {
+  add(peer: MonitoredPeer): void {
     if (this.peers.has(peer)) return;
     peer.silentSince = SYSTEM_CLOCK.now();
     this.peers.add(peer);
     if (this.timer !== undefined) return;
-    this.checkedAt = SYSTEM_CLOCK.now();
+    this.lastCheckAt = SYSTEM_CLOCK.now();
     this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS);
   }
 
   /** Watches a peer no more. */
-  remove(peer: WatchedPeer): void {
+  remove(peer: MonitoredPeer): void {
     this.peers.delete(peer);
     peer.isSuspect = false;
     if (this.peers.size > 0) return;
@@ -75,15 +75,15 @@
 
   private check(): void {
     const now = SYSTEM_CLOCK.now();
-    const stoodStill = now - this.checkedAt > LATE_CHECK_MS;
-    this.checkedAt = now;
+    const wasStalled = now - this.lastCheckAt > STALL_THRESHOLD_MS;
+    this.lastCheckAt = now;
     for (const peer of [...this.peers]) {
-      if (stoodStill) peer.silentSince = now;
+      if (wasStalled) peer.silentSince = now;
       const silentMs = now - peer.silentSince;
       peer.isSuspect = silentMs >= SUSPECT_AFTER_MS;
-      if (silentMs >= GIVE_UP_AFTER_MS) peer.close();
-      else if (silentMs >= PING_AFTER_MS && now - peer.pingedAt >= PING_GAP_MS) {
-        peer.pingedAt = now;
+      if (silentMs >= CLOSE_AFTER_MS) peer.close();
+      else if (silentMs >= PING_AFTER_MS && now - peer.lastPingAt >= MIN_PING_INTERVAL_MS) {
+        peer.lastPingAt = now;
         peer.ping();
       }
     }
--- a/src/link/server-link.ts
+++ b/src/link/server-link.ts
@@ -6,32 +6,32 @@
  */
 import type { Socket } from 'node:net';
 import { isSameToken } from '../http/link-token.js';
-import { CallsUnderWay } from './calls-under-way.js';
+import { InFlightCalls } from './calls-under-way.js';
 import { IncomingLinkCall, type LinkCallHandler } from './incoming-link-call.js';
 import { LinkConnection, type PendingFrame } from './link-connection.js';
 import type { LinkFrame } from './link-frames.js';
-import type { PeerWatch } from './peer-watch.js';
+import type { HeartbeatMonitor } from './peer-watch.js';
 
 export class ServerLink {
   private readonly connection: LinkConnection;
-  private readonly calls: CallsUnderWay<IncomingLinkCall>;
-  private isTrusted = false;
+  private readonly calls: InFlightCalls<IncomingLinkCall>;
+  private isAuthenticated = false;
 
   constructor(
     socket: Socket,
-    watch: PeerWatch,
+    heartbeats: HeartbeatMonitor,
     private readonly token: string,
     private readonly handler: LinkCallHandler,
     onClosed: () => void,
   ) {
-    this.connection = new LinkConnection(socket, watch, {
+    this.connection = new LinkConnection(socket, heartbeats, {
       onFrame: (frame) => this.onFrame(frame),
       onClose: () => {
         onClosed();
-        for (const call of this.calls.releaseAll()) call.onCallerGone();
+        for (const call of this.calls.releaseAll()) call.onCancelled();
       },
     });
-    this.calls = new CallsUnderWay(this.connection);
+    this.calls = new InFlightCalls(this.connection);
   }
 
   send(frame: LinkFrame): void {
@@ -57,8 +57,8 @@
 
   private onFrame(frame: LinkFrame): void {
     if (frame.type === 'pong') return;
-    if (frame.type === 'hello') this.isTrusted = isSameToken(frame.token, this.token);
-    if (!this.isTrusted) {
+    if (frame.type === 'hello') this.isAuthenticated = isSameToken(frame.token, this.token);
+    if (!this.isAuthenticated) {
       this.connection.close();
       return;
     }
--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -56,31 +56,31 @@
 
   /** Handles one call. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
-    if (message.headers[MESSAGE_HEADER] === CLAIM_MESSAGE && this.isLinked(message)) {
+    if (message.headers[MESSAGE_HEADER] === CLAIM_MESSAGE && this.hasLinkToken(message)) {
       void answerClaimMessage(message, response, this.options.onClaimMessage);
       return;
     }
-    const context = this.trustedContext(message) ?? this.untrustedContext(message);
+    const context = this.parseTrustedContext(message) ?? this.createUntrustedContext(message);
     const exchange = new InboundExchange(this.options, message, response, context);
     exchange.start();
   };
 
   /** The context that a shoredoor process sent, or undefined. */
-  private trustedContext(message: IncomingMessage): CallContext | undefined {
+  private parseTrustedContext(message: IncomingMessage): CallContext | undefined {
     const text = message.headers[CONTEXT_HEADER];
-    if (typeof text !== 'string' || !this.isLinked(message)) return undefined;
+    if (typeof text !== 'string' || !this.hasLinkToken(message)) return undefined;
     const trace = parseTraceParent(message.headers.traceparent as string | undefined);
     if (trace === undefined) return undefined;
     return parseContext(text, trace.traceId, this.options.services.clock.now());
   }
 
-  private isLinked(message: IncomingMessage): boolean {
+  private hasLinkToken(message: IncomingMessage): boolean {
     const token = message.headers[LINK_HEADER];
     return typeof token === 'string' && isSameToken(token, this.options.linkToken);
   }
 
   /** The context of a call from outside: least importance, no group, no retries. */
-  private untrustedContext(message: IncomingMessage): CallContext {
+  private createUntrustedContext(message: IncomingMessage): CallContext {
     const table = this.options.table() ?? EMPTY_POLICY_TABLE;
     const path = requestPath(message.url);
     const kind = path === undefined ? undefined : table.matchKind(message.method ?? '', path);
@@ -136,7 +136,7 @@
     );
     const call: InboundCall = new InboundCall(
       this.context,
-      this.claimKey(),
+      this.getClaimKey(),
       services,
       transport,
       (result) => this.onResult(call, result),
@@ -156,7 +156,7 @@
   }
 
   /** The key to claim for a call that may run at most once. */
-  private claimKey(): string | undefined {
+  private getClaimKey(): string | undefined {
     const key = this.message.headers[IDEMPOTENCY_KEY_HEADER];
     if (typeof key !== 'string' || key === '' || key.length > MAX_KEY_LENGTH) return undefined;
     const method = this.message.method ?? '';
--- a/src/node/node-outbound-server.ts
+++ b/src/node/node-outbound-server.ts
@@ -69,7 +69,7 @@
   private readonly table: PolicyTable;
   private readonly path: string;
   private call: OutboundCall | undefined;
-  private nestedActive = false;
+  private isNestedActive = false;
 
   constructor(
     private readonly options: OutboundServerOptions,
@@ -79,7 +79,8 @@
   ) {
     const table = options.table() ?? EMPTY_POLICY_TABLE;
     const path = requestPath(message.url) ?? '';
-    const context = inbound?.context ?? unattributedContext(options.clock, table, message, path);
+    const context =
+      inbound?.context ?? createUnattributedContext(options.clock, table, message, path);
     super(message, response, options.stats, context.kind);
     this.service = (message.headers.host ?? '').split(':', 1)[0]!.toLowerCase();
     this.table = table;
@@ -139,13 +140,13 @@
   }
 
   private beginNested(): void {
-    this.nestedActive = true;
+    this.isNestedActive = true;
     this.inbound?.onNestedStart();
   }
 
   private endNested(overloaded: boolean): void {
-    if (!this.nestedActive) return;
-    this.nestedActive = false;
+    if (!this.isNestedActive) return;
+    this.isNestedActive = false;
     this.inbound?.onNestedEnd(overloaded);
   }
 
@@ -155,7 +156,7 @@
 }
 
 /** The context of a call that cannot be tied to an inbound call: served, but never retried. */
-function unattributedContext(
+function createUnattributedContext(
   clock: Clock,
   table: PolicyTable,
   message: IncomingMessage,
--- a/src/observe/admin-server.ts
+++ b/src/observe/admin-server.ts
@@ -25,14 +25,14 @@
  * Time between two looks at the delay of the event loop, in milliseconds. Each one wakes the process:
  * at prom-client's default of 10 an idle process wakes a hundred times a second for nothing else.
  */
-const LOOP_DELAY_PRECISION_MS = 1_000;
+const EVENT_LOOP_SAMPLE_INTERVAL_MS = 1_000;
 
 /** A metrics registry with the process's own metrics. */
 export function createMetricsRegistry(): Registry {
   const registry = new Registry();
   collectDefaultMetrics({
     register: registry,
-    eventLoopMonitoringPrecision: LOOP_DELAY_PRECISION_MS,
+    eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_INTERVAL_MS,
   });
   return registry;
 }
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -46,11 +46,11 @@
 
 /** Collects what becomes of one call. */
 class Recorder extends EventEmitter implements LinkCallListener {
-  readonly heard: string[] = [];
+  readonly events: string[] = [];
   private bytes = '';
 
   onHead(status: number): void {
-    this.heard.push(`head ${status}`);
+    this.events.push(`head ${status}`);
   }
   onAnswer(status: number, _headers: string[], _outcome: Outcome, body: Buffer): void {
     this.onHead(status);
@@ -71,7 +71,7 @@
     this.finish(`failed ${written}`);
   }
   private finish(text: string): void {
-    this.heard.push(text);
+    this.events.push(text);
     this.emit('finished');
   }
 }
@@ -95,17 +95,17 @@
     const finished = once(recorder, 'finished');
     pool.call(origin, call, recorder);
     await finished;
-    return recorder.heard;
+    return recorder.events;
   }
 
   it('passes an answer on whole', async () => {
-    const heard = await run((call) => {
+    const events = await run((call) => {
       call.takeOutcome = () => OUTCOME;
       call.writeHead(200, []);
       call.write(Buffer.from((call.body as Buffer).toString().repeat(2)));
       call.end();
     });
-    expect(heard).to.deep.equal(['head 200', 'end 10']);
+    expect(events).to.deep.equal(['head 200', 'end 10']);
   });
 
   it('passes the head of an answer on before its body comes', async () => {
@@ -117,12 +117,12 @@
     const [call] = (await once(arrived, 'call')) as [IncomingLinkCall];
     call.takeOutcome = () => OUTCOME;
     call.writeHead(200, ['A', 'b']);
-    while (recorder.heard.length === 0) await new Promise((resolve) => setImmediate(resolve));
-    expect(recorder.heard).to.deep.equal(['head 200']);
+    while (recorder.events.length === 0) await new Promise((resolve) => setImmediate(resolve));
+    expect(recorder.events).to.deep.equal(['head 200']);
     call.write(Buffer.from('late'));
     call.end();
     await finished;
-    expect(recorder.heard).to.deep.equal(['head 200', 'end 4']);
+    expect(recorder.events).to.deep.equal(['head 200', 'end 4']);
   });
 
   it('gives back every frame as it was sent', () => {
@@ -206,7 +206,7 @@
     const recorder = new Recorder();
     pool.call(`http://127.0.0.1:${port}`, CALL, recorder);
     await once(recorder, 'finished');
-    expect(recorder.heard).to.deep.equal(['failed false']);
+    expect(recorder.events).to.deep.equal(['failed false']);
   });
 
   /**
@@ -226,13 +226,13 @@
     const finished = once(recorder, 'finished');
     pool.call(origin, CALL, recorder);
     await finished;
-    expect(recorder.heard).to.deep.equal(['head 200', 'end 5']);
+    expect(recorder.events).to.deep.equal(['head 200', 'end 5']);
   });
 
   it('takes no call from a peer without the token', async () => {
     const calls: IncomingLinkCall[] = [];
-    const heard = await run((call) => calls.push(call), CALL, 'another-token-entirely');
-    expect(heard).to.deep.equal(['failed true']);
+    const events = await run((call) => calls.push(call), CALL, 'another-token-entirely');
+    expect(events).to.deep.equal(['failed true']);
     expect(calls).to.deep.equal([]);
   });
 
@@ -249,7 +249,7 @@
   it('carries bodies that are larger than its window, in both directions', async () => {
     const size = 3_000_000;
     const chunks = Array.from({ length: 30 }, () => Buffer.alloc(size / 30, 'x'));
-    const heard = await run(
+    const events = await run(
       (call) => {
         call.takeOutcome = () => OUTCOME;
         call.writeHead(200, []);
@@ -259,7 +259,7 @@
       },
       { ...CALL, body: Readable.from(chunks) },
     );
-    expect(heard).to.deep.equal(['head 200', `end ${size}`]);
+    expect(events).to.deep.equal(['head 200', `end ${size}`]);
   });
 
   it('cuts what arrives into the frames that were sent, wherever it is split', () => {
--- a/test/link/silent-link.test.ts
+++ b/test/link/silent-link.test.ts
@@ -16,7 +16,7 @@
 import { LoopbackProxy, type SilentDirections } from '../../lab/soak/loopback-proxy.js';
 
 const TOKEN = 'token-of-the-silent-link-test';
-const ANSWERED: Outcome = {
+const OUTCOME: Outcome = {
   verdict: 'ran',
   refusal: undefined,
   overloaded: false,
@@ -48,7 +48,7 @@
 /** Longer than a link may be idle before its peer is asked for a sign of life. */
 const IDLE_MS = 1_100;
 /** A silent link is given up then. */
-const GIVEN_UP_MS = 1_400;
+const CLOSED_AFTER_MS = 1_400;
 const POLL_MS = 50;
 const DIRECTIONS: SilentDirections[] = [
   { toServer: true, toClient: true },
@@ -57,8 +57,8 @@
 ];
 
 /** Hears how one call ends. */
-class Ending extends EventEmitter implements LinkCallListener {
-  readonly over = once(this, 'over').then(([how]) => how as string);
+class CallObserver extends EventEmitter implements LinkCallListener {
+  readonly ended = once(this, 'over').then(([how]) => how as string);
 
   onAnswer(): void {
     this.emit('over', 'answered');
@@ -103,15 +103,15 @@
 
   function answer(incoming: IncomingLinkCall): void {
     if (!answers) return;
-    incoming.takeOutcome = () => ANSWERED;
+    incoming.takeOutcome = () => OUTCOME;
     incoming.writeHead(200, []);
     incoming.end();
   }
 
   function call(): Promise<string> {
-    const ending = new Ending();
-    const stream = pool.call(proxy.origin, CALL, ending);
-    return stream === undefined ? Promise.resolve('not sent') : ending.over;
+    const observer = new CallObserver();
+    const stream = pool.call(proxy.origin, CALL, observer);
+    return stream === undefined ? Promise.resolve('not sent') : observer.ended;
   }
 
   for (const directions of DIRECTIONS) {
@@ -127,15 +127,15 @@
     it(`gets no new calls long before it is given up, ${name}`, async () => {
       answers = false;
       proxy.silence(directions);
-      const underWay = call();
+      const inFlightCall = call();
       const silentAt = performance.now();
-      let stream: unknown = underWay;
+      let stream: unknown = inFlightCall;
       while (stream !== undefined) {
         await pause(POLL_MS);
-        stream = pool.call(proxy.origin, CALL, new Ending());
+        stream = pool.call(proxy.origin, CALL, new CallObserver());
       }
-      expect(performance.now() - silentAt).to.be.below(GIVEN_UP_MS);
-      expect(await underWay).to.equal('lost');
+      expect(performance.now() - silentAt).to.be.below(CLOSED_AFTER_MS);
+      expect(await inFlightCall).to.equal('lost');
       answers = true;
       expect(await call()).to.equal('answered');
     });
@@ -148,12 +148,12 @@
 
   it('is not given up while a peer works on a call for long', async () => {
     answers = false;
-    const underWay = call();
+    const inFlightCall = call();
     await pause(2_000);
     answers = true;
     expect(await call()).to.equal('answered');
     proxy.stop();
-    expect(await underWay).to.equal('lost');
+    expect(await inFlightCall).to.equal('lost');
   });
 
   it('never sends a call that was cancelled before it could be written', async () => {
@@ -163,11 +163,11 @@
       arrived += 1;
       answer(incoming);
     });
-    const cancelled = pool.call(server.origin, CALL, new Ending());
+    const cancelled = pool.call(server.origin, CALL, new CallObserver());
     cancelled!.cancel();
-    const ending = new Ending();
-    pool.call(server.origin, CALL, ending);
-    expect(await ending.over).to.equal('answered');
+    const observer = new CallObserver();
+    pool.call(server.origin, CALL, observer);
+    expect(await observer.ended).to.equal('answered');
     expect(arrived).to.equal(1);
   });
 });
