--- a/src/edge/edge-server.ts
+++ b/src/edge/edge-server.ts
@@ -1,8 +1,6 @@
 /**
- * The edge: takes plain HTTP requests from outside, finds group and kind, mints the call's context
- * and sends it to a service. {@link EdgeServer.handle} is the list of its rules, in order.
- *
- * Owns the exchanges under way. Relies on the policy in force, and on the router for everything after the body.
+ * The edge: receives HTTP requests from clients, determines their group and kind, and routes them to a service.
+ * {@link EdgeServer.handle} lists the checks in order.
  */
 import { hash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -25,31 +23,31 @@
 import { newTraceId } from '../call/trace-parent.js';
 import { NO_RETRY_AFTER, SOON_SECONDS } from '../call/retry-after.js';
 
-/** What an edge is made of. */
+/** Options of {@link EdgeServer}. */
 export interface EdgeServerOptions {
   readonly clock: Clock;
   readonly router: OutboundRouter;
   readonly transport: NodeTransportOptions;
   readonly stats: CallStats;
   readonly bodyLimits: BodyLimits;
-  /** Most requests under way; more are refused to bound memory. */
+  /** Maximum number of requests in flight, which bounds memory. Further requests are refused. */
   readonly maxInFlight: number;
-  /** The table in force; undefined until a first revision was received. */
+  /** Returns the current policy table, or undefined before the first revision is received. */
   readonly table: () => PolicyTable | undefined;
-  /** Once the edge is stopping, answers close their connections, and no request outlasts it. */
+  /** During shutdown, responses close their connections and deadlines are limited to its end. */
   readonly stop: StopProgress;
 }
 
 const BEARER_PREFIX = 'bearer ';
 const API_KEY_HEADER = 'x-api-key';
-/** Requests that are refused before they have a kind are counted under this name. */
+/** Kind under which refused requests without a kind are counted. */
 const UNMATCHED_KIND = 'unmatched';
 const BODY_DETAILS: Record<BodyRefusalReason, string> = {
   'too-large': 'The request body is too large.',
   'request-timeout': 'The request body came too slowly.',
 };
 
-/** The API key that a caller presents, or undefined. */
+/** Returns the API key of a request, or undefined if it has none. */
 function getApiKey(message: IncomingMessage): string | undefined {
   const direct = message.headers[API_KEY_HEADER];
   if (typeof direct === 'string') return direct;
@@ -63,17 +61,16 @@
 export class EdgeServer {
   constructor(private readonly options: EdgeServerOptions) {}
 
-  /** Handles one request from outside. */
+  /** Handles one client request. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     const requestId = newTraceId();
     if (this.options.stop.phase !== StopPhase.Running) response.shouldKeepAlive = false;
     const table = this.options.table();
-    // Without a policy nothing else can be looked up.
     if (table === undefined) {
       this.refuseEarly(response, requestId, 'not-ready', 'No policy has been received yet.');
       return;
     }
-    // Strangers learn nothing of the kinds that there are.
+    // The group is checked before the kind, so that unauthenticated clients cannot probe for kinds.
     const group = this.findGroup(table, message);
     if (group === undefined) {
       this.refuseEarly(response, requestId, 'unknown-group', 'The API key is missing or unknown.');
@@ -81,12 +78,12 @@
     }
     const path = requestPath(message.url);
     const kind = path === undefined ? undefined : table.matchKind(message.method ?? '', path);
-    // Internal kinds are for calls of targets alone.
+    // Internal kinds may only be called by targets.
     if (kind === undefined || kind.internal) {
       this.refuseEarly(response, requestId, 'unknown-kind', 'No kind matches method and path.');
       return;
     }
-    // Bounds memory, so it stands before anything is kept of the request.
+    // Must precede everything that allocates memory for the request.
     if (this.options.stats.inFlight >= this.options.maxInFlight) {
       this.refuseEarly(response, requestId, 'overload', 'The edge is at its limit.');
       return;
@@ -124,7 +121,7 @@
   }
 }
 
-/** One request under way at the edge. */
+/** One request in flight. */
 class EdgeExchange extends CallerExchange {
   private readonly startedAt: number;
   private call: OutboundCall | undefined;
--- a/src/edge/mint-context.ts
+++ b/src/edge/mint-context.ts
@@ -1,6 +1,6 @@
 /**
- * The context of a call from outside, as an edge mints it, and how the call is sent. For edges and the simulator. Owns
- * nothing; pure. Relies on the policy's kinds, where an ingress has routes (`ingress/ingress-context.ts`).
+ * Creates the call context and the outbound request for a client request at an edge. The ingress has its own version for
+ * routes, `ingress/ingress-context.ts`.
  */
 import type { Group, RequestKind } from '../policy/policy-table.js';
 import type { CallContext } from '../call/call-context.js';
@@ -8,8 +8,9 @@
 import { RetryAllowance } from '../retry/retry-allowance.js';
 
 /**
- * Mints the context of a request.
- * @param clientTimeoutMs how long the caller says it waits; it can only shorten the kind's deadline
+ * Creates the context of a client request.
+ * @param clientTimeoutMs timeout requested by the client; it can only shorten the kind's deadline
+ * @param now the current time in milliseconds
  */
 export function mintContext(
   requestId: string,
@@ -29,7 +30,7 @@
   };
 }
 
-/** What an edge asks its router for a request from outside. */
+/** Creates the request that an edge passes to its router. */
 export function edgeOutboundRequest(context: CallContext, kind: RequestKind): OutboundRequest {
   return {
     trafficClass: `${kind.name}/${context.group}`,
--- a/src/link/answer-fields.ts
+++ b/src/link/answer-fields.ts
@@ -1,27 +1,23 @@
-/**
- * The fields of an answer's head, alone or with the whole body behind it.
- *
- * For: `frame-codec.ts`. Owns: the order of the fields. Relies on: `outcome-fields.ts`.
- */
+/** Encoding of response frames: the head alone, or the head together with the whole body. */
 import type { AnswerFrame, HeadFrame } from './link-frames.js';
 import { FrameCode } from './frame-code.js';
 import { toBuffer, joinStrings, splitStrings } from './frame-fields.js';
 import { fromOutcomeFields, toOutcomeFields, type OutcomeFields } from './outcome-fields.js';
 
-/** In this order on the wire. */
+/** Fields of a response head, in wire order. */
 export type HeadFields = [
   code: FrameCode.Head | FrameCode.Answer,
   id: number,
   status: number,
-  /** Names and values of the headers, alternating. */
+  /** Alternating header names and values, see {@link joinStrings}. */
   headers: string,
   outcome: OutcomeFields,
 ];
 
-/** A head with the whole body behind it. */
+/** Fields of a complete response, in wire order. */
 export type AnswerFields = [...head: HeadFields, body: unknown];
 
-/** The fields of a head whose body follows. */
+/** Encodes a response head whose body follows in separate frames. */
 export function toHeadFields(frame: HeadFrame): HeadFields {
   return [
     FrameCode.Head,
@@ -32,12 +28,12 @@
   ];
 }
 
-/** The head with these fields. */
+/** Decodes a response head. */
 export function fromHeadFields(fields: HeadFields): HeadFrame {
   return { type: 'head', ...decodeHead(fields) };
 }
 
-/** The fields of a whole answer. */
+/** Encodes a complete response. */
 export function toAnswerFields(frame: AnswerFrame): AnswerFields {
   return [
     FrameCode.Answer,
@@ -49,7 +45,7 @@
   ];
 }
 
-/** The whole answer with these fields. */
+/** Decodes a complete response. */
 export function fromAnswerFields(fields: AnswerFields): AnswerFrame {
   const [, , , , , body] = fields;
   return { type: 'answer', ...decodeHead(fields), body: toBuffer(body) };
--- a/src/link/body-window.ts
+++ b/src/link/body-window.ts
@@ -1,16 +1,14 @@
 /**
- * Flow control of one body: holds its sender back to what its receiver takes.
- *
- * For: both sides of a link, one window for each body that they send. Owns: the count of bytes under way. Relies on: the
- * receiver's reports of what it has taken.
+ * Send window of one message body. Limits the bytes in flight to {@link BODY_WINDOW_BYTES}, so that a slow receiver
+ * applies backpressure to the sender.
  */
 import { BODY_WINDOW_BYTES } from './link-frames.js';
 
 export class BodyWindow {
-  /** Bytes that were sent and not yet reported as taken. */
+  /** Bytes that were sent and not yet acknowledged by the receiver. */
   private inFlightBytes = 0;
 
-  /** Whether more may be sent now. */
+  /** Whether more bytes may be sent. */
   get isOpen(): boolean {
     return this.inFlightBytes < BODY_WINDOW_BYTES;
   }
--- a/src/link/call-fields.ts
+++ b/src/link/call-fields.ts
@@ -1,27 +1,22 @@
-/**
- * The fields of a call.
- *
- * For: `frame-codec.ts`. Owns: the order of the fields and of the texts of a head, and what an absent field means.
- * Relies on: times that `frame-context.ts` has turned into what remains of them.
- */
+/** Encoding of call frames. */
 import type { CallFrame } from './link-frames.js';
 import { FrameCode } from './frame-code.js';
 import { toBuffer, fromPercent, joinStrings, splitStrings, toPercent } from './frame-fields.js';
 
-/** How the body of a call arrives. The numbers are on the wire. */
+/** How the body of a call is sent. The numeric values are part of the wire format. */
 enum BodyForm {
   None,
-  /** In the frame of the call itself. */
+  /** Included in the call frame. */
   Whole,
-  /** In frames of its own. */
+  /** Sent in data frames that follow the call frame. */
   Stream,
 }
 
-/** In this order on the wire; a new field goes to the end. */
+/** Fields of a call, in wire order. New fields must be appended. */
 export type CallFields = [
   code: FrameCode.Call,
   id: number,
-  /** The texts of a head, see {@link CallHeadStrings}. */
+  /** The joined {@link CallHeadStrings}. */
   texts: string,
   importance: number,
   deadlineMs: number,
@@ -32,28 +27,28 @@
   inheritedPercent: number,
   form: BodyForm,
   body: unknown,
-  /** Absent in frames of processes that do not know it. */
+  /** Absent if the sender's version does not support it. */
   answerMarginMs?: number,
-  /** Absent in frames of processes that do not know it. */
+  /** Absent if the sender's version does not support it. */
   fingerprint?: string,
-  /** Absent in frames of processes that do not know it. */
+  /** Absent if the sender's version does not support it. */
   groupRank?: number,
-  /** Absent where it is 0, and in frames of processes that do not know it. */
+  /** Absent if it is 0 or if the sender's version does not support it. */
   clientWaitedMs?: number,
 ];
 
-/** The texts of a call's head, in this order on the wire. */
+/** The strings of a call's head, in wire order. */
 type CallHeadStrings = [
   requestId: string,
   kind: string,
   service: string,
   method: string,
   path: string,
-  /** Names and values, alternating. */
+  /** Alternating names and values. */
   ...headers: string[],
 ];
 
-/** The fields of a call. */
+/** Encodes a call. */
 export function toCallFields(frame: CallFrame): CallFields {
   const { id, context, method, path, headers, body } = frame;
   const { requestId, kind, service } = context;
@@ -78,7 +73,7 @@
   return fields;
 }
 
-/** The call with these fields. */
+/** Decodes a call. Optional fields that are absent get their neutral value. */
 export function fromCallFields(fields: CallFields): CallFrame {
   const [
     ,
--- a/src/link/calls-under-way.ts
+++ b/src/link/calls-under-way.ts
@@ -1,9 +1,4 @@
-/**
- * The calls under way on one connection, by the id that frames name them with.
- *
- * For: both sides of a link. Owns: which calls are under way, and with that whether the peer is watched. Relies on: the
- * connection, which ends when its watch gives the peer up.
- */
+/** The calls in flight on one connection, by call id. The heartbeat monitor checks the peer while there is at least one. */
 import type { LinkConnection } from './link-connection.js';
 
 export class InFlightCalls<Call> {
@@ -28,14 +23,14 @@
     this.connection.setBusy(true);
   }
 
-  /** Forgets a call. @returns whether it was under way */
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean {
     const existed = this.calls.delete(id);
     if (this.isEmpty) this.connection.setBusy(false);
     return existed;
   }
 
-  /** Forgets every call. @returns those that were under way */
+  /** Removes all calls. @returns the calls that were in flight */
   releaseAll(): Call[] {
     const calls = [...this.calls.values()];
     this.calls.clear();
--- a/src/link/frame-code.ts
+++ b/src/link/frame-code.ts
@@ -1,4 +1,7 @@
-/** The first field of every frame: its kind. The numbers are on the wire; a new kind goes to the end. */
+/**
+ * Frame type, the first field of every frame. The numeric values are part of the wire format; new types must be
+ * appended.
+ */
 export enum FrameCode {
   Hello,
   Call,
--- a/src/link/frame-codec.ts
+++ b/src/link/frame-codec.ts
@@ -1,10 +1,7 @@
 /**
- * The bytes of the frames between sidecars: a msgpack array behind its length as a 32-bit big-endian number. Fields
- * stand in a fixed order, and all texts of a head are one text of lines: names of fields and many short texts cost more
- * processor time than all else about a frame (docs/design/platform.md).
- *
- * For: both sides of a link. Owns: the length, the array and its first field, and the frames of one or two fields.
- * Relies on: `call-fields.ts`, `answer-fields.ts` and `outcome-fields.ts` for the rest.
+ * Binary encoding of {@link LinkFrame}s: a 32-bit big-endian length followed by a msgpack array. Fields are positional and
+ * the strings of a head are joined into one, because property names and many short strings are expensive to encode and
+ * decode (docs/design/platform.md).
  */
 import { Packr } from 'msgpackr';
 import {
@@ -21,13 +18,13 @@
 import type { LinkFrame } from './link-frames.js';
 import { fromOutcomeFields, toOutcomeFields, type OutcomeFields } from './outcome-fields.js';
 
-/** Bytes of the length before each frame. */
+/** Size of the length prefix. */
 const LENGTH_BYTES = 4;
-/** A larger frame is an error of the peer: bodies are sent whole up to 64 KiB. */
+/** Maximum length of a received frame. Valid frames are far smaller: bodies over 64 KiB are split into several. */
 const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 const packr = new Packr({ useRecords: false });
 
-/** A frame as it is sent. */
+/** Encodes a frame with its length prefix. */
 export function encodeFrame(frame: LinkFrame): Buffer {
   const payload = packr.pack(toFields(frame));
   const bytes = Buffer.allocUnsafe(LENGTH_BYTES + payload.length);
@@ -36,13 +33,14 @@
   return bytes;
 }
 
-/** Cuts what arrives into frames. */
+/** Splits a byte stream into frames. */
 export class FrameReader {
   private unreadBytes: Buffer = Buffer.alloc(0);
 
   /**
-   * The frames that are whole with these bytes.
-   * @throws when a frame is larger than any that is sent, not msgpack, or of no known kind
+   * Appends received bytes. Bytes of an incomplete frame are kept for the next call.
+   * @returns the frames that are now complete
+   * @throws if a frame is too large, is not valid msgpack or has an unknown type
    */
   read(bytes: Buffer): LinkFrame[] {
     const buffer = this.unreadBytes.length === 0 ? bytes : Buffer.concat([this.unreadBytes, bytes]);
@@ -91,7 +89,7 @@
   }
 }
 
-/** @throws RangeError when the frame is of no known kind */
+/** @throws RangeError if the frame type is unknown */
 function fromFields(fields: unknown[]): LinkFrame {
   const [code, id, value] = fields as [FrameCode, number, unknown];
   switch (code) {
--- a/src/link/frame-context.ts
+++ b/src/link/frame-context.ts
@@ -1,16 +1,14 @@
 /**
- * The context of a call as a frame carries it.
- *
- * For: `peer-transport.ts`. Owns: what takes the place of a value that the call does not have. Relies on: no clock that
- * two machines share, so times travel as what remains of them. Pure.
+ * Converts the context of a call for a call frame. Deadlines are sent as remaining durations, since machines do not share
+ * a clock.
  */
 import type { CallFrameContext } from './link-frames.js';
 import type { AttemptEnvelope } from '../call/transport.js';
 import type { CallContext } from '../call/call-context.js';
 
 /**
- * What an attempt of a call tells the gate.
- * @param now the moment of sending, on the clock of the context's times, in milliseconds
+ * Builds the context that an attempt sends to the gate. Absent values are replaced by their defaults.
+ * @param now the current time in milliseconds, on the clock of `context.deadlineAt`
  */
 export function frameContext(
   context: CallContext,
--- a/src/link/frame-fields.ts
+++ b/src/link/frame-fields.ts
@@ -1,36 +1,31 @@
-/**
- * How single values stand among the fields of a frame.
- *
- * For: the modules that lay out one kind of frame each. Owns: the separator of texts and the scale of shares. Relies
- * on: texts of a head without a line end, which HTTP parsers on either side refuse.
- */
+/** Conversions of single field values, shared by the frame encoders. */
 
-/** No text of a head can contain it (RFC 9112, section 2.2). */
+/** HTTP parsers reject line feeds in methods, targets and headers (RFC 9112, section 2.2). */
 const STRING_SEPARATOR = '\n';
-/** Shares travel as whole hundredths: one byte in place of nine. */
+/** Fractions are sent as integer percentages: one byte instead of nine. */
 const PERCENT_SCALE = 100;
 
-/** Several texts as one: many short texts cost more processor time than all else about a frame. */
+/** Joins strings into one, which is cheaper to encode and decode than many short ones. */
 export function joinStrings(texts: readonly string[]): string {
   return texts.join(STRING_SEPARATOR);
 }
 
-/** The texts of {@link joinStrings}; an empty one is a single empty text. */
+/** Splits the result of {@link joinStrings}. An empty string yields one empty string. */
 export function splitStrings(text: string): string[] {
   return text.split(STRING_SEPARATOR);
 }
 
-/** A share from 0 to 1 as whole hundredths. */
+/** Converts a fraction from 0 to 1 to an integer percentage. */
 export function toPercent(share: number): number {
   return Math.round(share * PERCENT_SCALE);
 }
 
-/** A share from 0 to 1 that travelled as whole hundredths. */
+/** Converts an integer percentage to a fraction from 0 to 1. */
 export function fromPercent(percent: number): number {
   return percent / PERCENT_SCALE;
 }
 
-/** The bytes of a field as a Buffer, without a copy. */
+/** Views the bytes of a decoded field as a Buffer, without copying. */
 export function toBuffer(value: unknown): Buffer {
   if (Buffer.isBuffer(value)) return value;
   const bytes = value as Uint8Array;
--- a/src/link/incoming-link-call.ts
+++ b/src/link/incoming-link-call.ts
@@ -1,9 +1,6 @@
 /**
- * One call under way on a link, at its called side.
- *
- * For: the gate, which takes the call and writes its answer. Owns: the body as it arrives, the window of the answer's
- * body, and the answer's head until the end of the turn in which it was written: a whole answer goes out as one frame.
- * Relies on: the link to send frames, and to say when the caller is gone.
+ * The called side of one call on a link. The response head is held back until the end of the event loop turn, so that a
+ * response that is complete by then is sent as a single frame.
  */
 import { EventEmitter } from 'node:events';
 import { Readable } from 'node:stream';
@@ -16,30 +13,30 @@
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** Takes the calls that arrive. */
+/** Handles an incoming call. */
 export type LinkCallHandler = (call: IncomingLinkCall) => void;
 
-/** What an arrived call needs of its link. */
+/** The operations of a link that an incoming call uses. */
 interface CalledSideLink {
   send(frame: LinkFrame): void;
-  /** Has `pending` send its frame at the end of this turn of the event loop. */
+  /** Calls `pending.sendPending` at the end of this event loop turn. */
   sendLater(pending: PendingFrame): void;
-  /** Forgets a call. @returns whether it was under way */
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean;
 }
 
-/** A call that arrived, and the sink of its answer. Emits `cancel` when the caller is gone. */
+/** An incoming call and the sink of its response. Emits `cancel` when the caller cancels or disconnects. */
 export class IncomingLinkCall extends EventEmitter implements AnswerSink, PendingFrame {
-  /** The outcome to send with the answer's head; taken once. */
+  /** Returns the outcome to send with the response head. Called once, by {@link writeHead}. */
   takeOutcome: (() => Outcome) | undefined;
-  /** The whole body, or a stream of it. */
+  /** The complete request body, a stream of it, or null if there is none. */
   readonly body: Buffer | Readable | null;
   private readonly window = new BodyWindow();
-  /** The body where it is a stream. */
+  /** The request body if it is streamed. */
   private readonly bodyStream: Readable | undefined;
-  /** The head of the answer, until it is known whether the rest comes in the same turn. */
+  /** The response head, held back until the end of the turn. */
   private pendingHead: HeadFrame | undefined;
-  /** The first part of the body, if it came in the turn of the head. */
+  /** The first response chunk, if it was written in the same turn as the head. */
   private pendingBody: Buffer | undefined;
 
   constructor(
@@ -53,7 +50,7 @@
     } else this.body = frame.body;
   }
 
-  /** The gate answers itself. */
+  /** Refuses the call. */
   refuse(outcome: Outcome): void {
     const { id } = this.frame;
     if (this.link.release(id)) this.link.send({ type: 'refused', id, outcome });
@@ -74,7 +71,7 @@
     return this.sendData(chunk);
   }
 
-  /** The rest of the answer did not come in the turn of its head. */
+  /** Sends the held-back head and chunk; the rest of the response follows in separate frames. */
   sendPending(): void {
     const { pendingHead, pendingBody } = this;
     if (pendingHead === undefined) return;
@@ -124,11 +121,11 @@
         this.destroyBody('the body broke off');
         return;
       default:
-      // Only the calling side gets the others.
+      // The other frame types are only sent to the calling side.
     }
   }
 
-  /** The caller, or its connection, is gone. */
+  /** Handles a cancel frame or the loss of the connection. */
   onCancelled(): void {
     this.link.release(this.frame.id);
     this.pendingHead = undefined;
@@ -136,9 +133,9 @@
     this.emit('cancel');
   }
 
-  /** A body that streams in will not be whole: undici breaks off the request to the target that carries it. */
+  /** Fails a streamed request body that will not be completed, which makes undici abort the request to the target. */
   private destroyBody(reason: string): void {
-    // Undici alone sees this error, and looks at neither class nor code.
+    // Only undici receives this error, and it checks neither class nor code.
     this.bodyStream?.destroy(new Error(reason));
   }
 
--- a/src/link/link-connection.ts
+++ b/src/link/link-connection.ts
@@ -1,9 +1,6 @@
 /**
- * One TCP connection between two sidecars: sends frames, those of one turn of the event loop in one write, and cuts what
- * arrives into frames.
- *
- * For: both sides of a link. Owns: the socket, and the frames that were not written yet. Relies on: `peer-watch.ts` to
- * notice a peer that has fallen silent while calls are under way.
+ * One TCP connection between two sidecars: encodes and decodes frames. Frames of one event loop turn are sent in a single
+ * write.
  */
 import { SYSTEM_CLOCK } from '../common/clock.js';
 import type { Socket } from 'node:net';
@@ -11,30 +8,30 @@
 import type { LinkFrame } from './link-frames.js';
 import type { HeartbeatMonitor, MonitoredPeer } from './peer-watch.js';
 
-/** Told what happens on a connection. */
+/** Receives the events of a connection. */
 export interface LinkConnectionListener {
   onFrame(frame: LinkFrame): void;
-  /** The connection is over. Called once. */
+  /** Called once, when the connection is closed. */
   onClose(): void;
 }
 
-/** Holds a frame back until the end of the turn, in case more of it comes. */
+/** A frame that is held back until the end of the event loop turn, so that more data can be added to it. */
 export interface PendingFrame {
-  /** Sends the frame if it was not sent since. */
+  /** Sends the frame unless it has been sent already. */
   sendPending(): void;
 }
 
 export class LinkConnection implements MonitoredPeer {
   private readonly reader = new FrameReader();
-  /** Frames of this turn, not written yet. */
+  /** Encoded frames of this turn, not yet written to the socket. */
   private unsentFrames: Buffer[] = [];
   private flushScheduled = false;
-  /** What still has a frame to send at the end of this turn. */
+  /** Frames to complete at the end of this turn. */
   private pendingFrames: PendingFrame[] = [];
   silentSince = SYSTEM_CLOCK.now();
   lastPingAt = -Infinity;
   isSuspect = false;
-  /** Monotonic milliseconds at which anything last arrived, or the connection was made. */
+  /** Monotonic time in milliseconds at which data was last received, initially the creation of this object. */
   lastReceivedAt = SYSTEM_CLOCK.now();
   private closed = false;
 
@@ -45,25 +42,25 @@
   ) {
     socket.setNoDelay(true);
     socket.on('data', (bytes: Buffer) => this.onData(bytes));
-    // The error is not kept: every call on the link ends with it, and its own log line says how.
+    // The error is dropped: every call in flight on the link fails and logs its own outcome.
     socket.on('error', () => this.close());
     socket.on('close', () => this.close());
   }
 
-  /** Sends a frame with the others of this turn. */
+  /** Sends a frame at the end of this event loop turn. Does nothing once the connection is closed. */
   send(frame: LinkFrame): void {
     if (this.closed) return;
     this.unsentFrames.push(encodeFrame(frame));
     this.scheduleFlush();
   }
 
-  /** Has `pending` send its frame at the end of this turn. */
+  /** Calls `pending.sendPending` at the end of this event loop turn. */
   sendLater(pending: PendingFrame): void {
     this.pendingFrames.push(pending);
     this.scheduleFlush();
   }
 
-  /** While calls are under way, the peer is looked after. */
+  /** Starts or stops heartbeats. The peer is monitored only while calls are in flight. */
   setBusy(isBusy: boolean): void {
     if (isBusy && !this.closed) this.heartbeats.add(this);
     else this.heartbeats.remove(this);
@@ -73,13 +70,13 @@
     this.send({ type: 'ping' });
   }
 
-  /** Sends what still waits, then ends this side; the connection is over once the peer has ended its own. */
+  /** Sends pending frames and half-closes the connection, which closes once the peer has ended its side too. */
   finish(): void {
     this.flush();
     if (!this.closed) this.socket.end();
   }
 
-  /** Ends the connection at once. What was not written yet is lost. */
+  /** Closes the connection immediately and discards unsent frames. */
   close(): void {
     if (this.closed) return;
     this.closed = true;
@@ -113,7 +110,7 @@
     try {
       frames = this.reader.read(bytes);
     } catch {
-      // Not a frame, so the rest of the stream can't be read either. The calls end as if the connection had been lost.
+      // The rest of the stream cannot be decoded either. Calls in flight fail as after a lost connection.
       this.close();
       return;
     }
--- a/src/link/link-frames.ts
+++ b/src/link/link-frames.ts
@@ -1,21 +1,18 @@
 /**
- * The messages between sidecars, many calls at a time over one TCP connection. docs/design/platform.md weighs this against
- * one HTTP exchange a call.
- *
- * For: both sides of a link and the gate. Owns: which messages there are, and the size of a body's window. Relies on:
- * nothing; `frame-codec.ts` gives the messages their bytes.
+ * Frames of the link protocol, which multiplexes calls between sidecars over one TCP connection. docs/design/platform.md
+ * compares it with one HTTP exchange per call.
  */
 import type { Outcome } from '../call/outcome.js';
 import type { RawHeaders } from '../http/header-filter.js';
 
-/** The first frame of the side that connects. */
+/** Authenticates the connecting side. Must be its first frame. */
 export interface HelloFrame {
   readonly type: 'hello';
-  /** The deployment's link token. */
+  /** Link token of the deployment. */
   readonly token: string;
 }
 
-/** The context of a call; times are what remains, in milliseconds. */
+/** Context of a call. Times are remaining durations in milliseconds. */
 export interface CallFrameContext {
   readonly requestId: string;
   readonly kind: string;
@@ -23,37 +20,37 @@
   readonly service: string;
   readonly deadlineMs: number;
   readonly waitMs: number;
-  /** Time within which an answer is worth its full credit. */
+  /** Time within which a response meets the latency objective. */
   readonly objectiveMs: number;
   readonly retries: number;
-  /** Whether an earlier attempt of the call may have arrived at a target. */
+  /** Whether an earlier attempt of the call may have reached a target. */
   readonly isRepeat: boolean;
-  /** How likely a run that was itself a repeat has made the call, 0 to 1, to a hundredth. */
+  /** Estimated probability, from 0 to 1 in steps of 0.01, that the request that made this call was itself a repeat. */
   readonly inheritedShare: number;
-  /** Time in milliseconds before the deadline at which the target is to stop, so that its own answer arrives. */
+  /** Time before the deadline at which the target should stop, so that its response still arrives. */
   readonly answerMarginMs: number;
-  /** Names the request whenever it comes again; empty from processes that do not tell it. */
+  /** Identifies repeats of the same request. Empty if the sender's version does not support it. */
   readonly fingerprint: string;
-  /** Rank of the caller's group, 0 the most urgent; 0 from processes that do not tell it. */
+  /** Rank of the caller's group, 0 being the most urgent. 0 if the sender's version does not support it. */
   readonly groupRank: number;
-  /** Time that the client has used up in earlier attempts of its own; 0 from processes that do not tell it. */
+  /** Time that the client spent on its own earlier attempts. 0 if the sender's version does not support it. */
   readonly clientWaitedMs: number;
 }
 
-/** Begins a call. */
+/** Starts a call. */
 export interface CallFrame {
   readonly type: 'call';
-  /** Chosen by the side that connected; names the call on this connection. */
+  /** Identifies the call on this connection. Assigned by the connecting side. */
   readonly id: number;
   readonly context: CallFrameContext;
   readonly method: string;
   readonly path: string;
   readonly headers: RawHeaders;
-  /** The whole body; null for none. Absent when the body follows in frames of its own. */
+  /** The complete body, or null if there is none. Absent if the body follows in data frames. */
   readonly body?: Buffer | null;
 }
 
-/** A whole answer: most are small, and one frame costs less than three. */
+/** A complete response in one frame, which is cheaper than head, data and end frames. */
 export interface AnswerFrame {
   readonly type: 'answer';
   readonly id: number;
@@ -63,7 +60,7 @@
   readonly body: Buffer;
 }
 
-/** The status and headers of the answer. */
+/** Status and headers of a response whose body follows in data frames. */
 export interface HeadFrame {
   readonly type: 'head';
   readonly id: number;
@@ -72,46 +69,47 @@
   readonly outcome: Outcome;
 }
 
-/** The gate's own answer: the target did not answer the call. */
+/** Sent instead of a response if the gate refuses the call or the target did not respond. */
 export interface RefusedFrame {
   readonly type: 'refused';
   readonly id: number;
   readonly outcome: Outcome;
 }
 
-/** A part of a body, in either direction. */
+/** A chunk of a request or response body. */
 export interface DataFrame {
   readonly type: 'data';
   readonly id: number;
   readonly bytes: Buffer;
 }
 
-/** The end of a body, in either direction. */
+/** The end of a request or response body. */
 export interface EndFrame {
   readonly type: 'end';
   readonly id: number;
 }
 
-/** The body breaks off: what was sent of it is not the whole. */
+/** The body was aborted before its end. */
 export interface BrokenFrame {
   readonly type: 'broken';
   readonly id: number;
 }
 
-/** The caller is gone: the call is to be stopped. */
+/** Cancels a call, because its caller no longer needs the response. */
 export interface CancelFrame {
   readonly type: 'cancel';
   readonly id: number;
 }
 
-/** The receiver of a body has taken this many bytes more. */
+/** Acknowledges consumed body bytes, which reopens the sender's window. */
 export interface TakenFrame {
   readonly type: 'taken';
   readonly id: number;
+  /** Bytes consumed since the previous acknowledgement. */
   readonly bytes: number;
 }
 
-/** Asks for a sign of life. */
+/** Heartbeat request. Answered by a {@link PongFrame}. */
 export interface PingFrame {
   readonly type: 'ping';
 }
@@ -120,7 +118,7 @@
   readonly type: 'pong';
 }
 
-/** Frames about one call. */
+/** Frames that belong to one call. */
 export type StreamFrame =
   | CallFrame
   | AnswerFrame
@@ -134,8 +132,5 @@
 
 export type LinkFrame = StreamFrame | HelloFrame | PingFrame | PongFrame;
 
-/**
- * Bytes of a body that may be under way before the receiver says that it took some: what one call holds in memory at most
- * on either side.
- */
+/** Maximum unacknowledged bytes of a body, which bounds the memory that one call buffers on either side. */
 export const BODY_WINDOW_BYTES = 256 * 1024;
--- a/src/link/link-pool.ts
+++ b/src/link/link-pool.ts
@@ -1,9 +1,4 @@
-/**
- * The links of one sidecar to others, by the origin of the other: one each, made when it is used.
- *
- * For: the transports of the ingress. Owns: the links, and the one watch over their peers. Relies on: `peer-link.ts` to
- * say when a link is over; the next call to that origin makes a new one.
- */
+/** The outgoing links of a sidecar, one for each origin. A link is opened on first use and replaced after it has closed. */
 import type { LinkCall, LinkCallListener, LinkStream } from './link-stream.js';
 import { PeerLink } from './peer-link.js';
 import { HeartbeatMonitor } from './peer-watch.js';
@@ -16,26 +11,26 @@
 
   /**
    * Sends a call to the sidecar at `origin`.
-   * @returns undefined, and the listener is never called, if that sidecar has fallen silent
+   * @returns undefined if that sidecar does not answer heartbeats; the listener is not called then
    */
   call(origin: string, call: LinkCall, listener: LinkCallListener): LinkStream | undefined {
     const getOrCreateLink = this.link(origin);
     return getOrCreateLink.isSuspect ? undefined : getOrCreateLink.call(call, listener);
   }
 
-  /** Closes links to origins that are no longer used, unless calls are under way there. */
+  /** Closes idle links to all origins but these. */
   retain(origins: ReadonlySet<string>): void {
     for (const [origin, link] of this.links) {
       if (!origins.has(origin) && link.isIdle) link.close();
     }
   }
 
-  /** Ends every link once what still waits has been sent. */
+  /** Closes all links after their pending frames have been sent. */
   finish(): void {
     for (const link of this.links.values()) link.finish();
   }
 
-  /** Ends every link at once. */
+  /** Closes all links immediately. */
   destroy(): void {
     for (const link of [...this.links.values()]) link.close();
   }
--- a/src/link/link-server.ts
+++ b/src/link/link-server.ts
@@ -1,9 +1,4 @@
-/**
- * The called side of the links: takes connections from other sidecars.
- *
- * For: the gate's server. Owns: the listening socket, the open links, and the watch over their peers. Relies on: its
- * handler for every call that arrives.
- */
+/** Accepts link connections from other sidecars and passes their calls to a handler. */
 import { createServer, type Server } from 'node:net';
 import { listen, type ListenAddress } from '../http/listen.js';
 import type { LinkCallHandler } from './incoming-link-call.js';
@@ -16,11 +11,11 @@
 
   private constructor(
     private readonly server: Server,
-    /** `http://ADDRESS:PORT` that other sidecars connect to. */
+    /** Origin that other sidecars connect to, `http://ADDRESS:PORT`. */
     readonly origin: string,
   ) {}
 
-  /** Starts listening. @throws when the address cannot be had */
+  /** Starts listening. @throws if the address cannot be bound */
   static async start(
     address: ListenAddress,
     token: string,
@@ -38,8 +33,8 @@
   }
 
   /**
-   * Takes no connections any more, and ends the open ones once what still waits has been sent. Resolves when their peers
-   * have ended them, too.
+   * Stops accepting connections and half-closes the open ones after their pending frames have been sent.
+   * Resolves when the peers have closed them too.
    */
   async finish(): Promise<void> {
     await new Promise<void>((resolve) => {
@@ -48,7 +43,7 @@
     });
   }
 
-  /** Takes no connections any more, and ends the open ones at once. */
+  /** Stops accepting connections and closes the open ones immediately. */
   destroy(): void {
     this.server.close();
     for (const link of [...this.links]) link.close();
--- a/src/link/link-stream.ts
+++ b/src/link/link-stream.ts
@@ -1,9 +1,4 @@
-/**
- * One call under way on a link, at its calling side.
- *
- * For: `peer-transport.ts`, through `link-pool.ts`. Owns: the windows of both bodies. Relies on: the link to send frames
- * and to say when it is over.
- */
+/** The calling side of one call on a link, with flow control of its request and response bodies. */
 import type { Readable } from 'node:stream';
 import type { Outcome } from '../call/outcome.js';
 import type { RawHeaders } from '../http/header-filter.js';
@@ -17,44 +12,44 @@
 
 /** A call to send. */
 export interface LinkCall extends Omit<CallFrame, 'type' | 'id' | 'body'> {
-  /** The whole body, or a stream that can be read once. */
+  /** The complete body, a stream of it, or null if there is none. */
   readonly body: Buffer | Readable | null;
 }
 
-/** Told how one call goes. */
+/** Receives the response of a call. */
 export interface LinkCallListener {
-  /** The whole answer came at once; nothing follows. */
+  /** A complete response; no other method is called afterwards. */
   onAnswer(status: number, headers: RawHeaders, outcome: Outcome, body: Buffer): void;
   onHead(status: number, headers: RawHeaders, outcome: Outcome): void;
   onRefused(outcome: Outcome): void;
-  /** @returns whether the bytes are taken; if not, {@link LinkStream.acknowledge} follows later */
+  /** @returns whether the bytes were consumed; if not, call {@link LinkStream.acknowledge} once they are */
   onData(bytes: Buffer): boolean;
   onEnd(): void;
-  /** @param written whether the peer may have got the call */
+  /** @param written whether the peer may have received the call */
   onFailure(written: boolean): void;
 }
 
-/** What a call needs of its link. */
+/** The operations of a link that an outgoing call uses. */
 interface CallerSideLink {
-  /** Whether frames are written at once. */
+  /** Whether frames are sent immediately instead of queued. */
   readonly isOpen: boolean;
-  /** Whether the call is under way. */
+  /** Whether the call is in flight. */
   has(id: number): boolean;
   send(frame: LinkFrame): void;
-  /** Tells the peer that a call is over; one that has not been written yet is never sent. */
+  /** Cancels a call at the peer, or removes its frames from the queue if they have not been sent. */
   cancelCall(id: number): void;
-  /** Forgets a call. @returns whether it was under way */
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean;
 }
 
-/** Bytes of an answer that are passed on before the peer is told, so that most answers need no frame for it. */
+/** Consumed bytes after which an acknowledgement is sent. Smaller responses need none. */
 const ACKNOWLEDGE_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
 
 export class LinkStream {
   private readonly window = new BodyWindow();
-  /** Continues {@link sendBody}, which waits for its window. */
+  /** Resumes {@link sendBody} when the window may have reopened. */
   private resumeBody: (() => void) | undefined;
-  /** Bytes that were taken and not reported yet. */
+  /** Consumed response bytes that have not been acknowledged yet. */
   private unacknowledgedBytes = 0;
 
   constructor(
@@ -63,12 +58,12 @@
     readonly listener: LinkCallListener,
   ) {}
 
-  /** Stops the call. The listener is not called any more. */
+  /** Cancels the call. The listener is not called afterwards. */
   cancel(): void {
     if (this.link.release(this.id)) this.link.cancelCall(this.id);
   }
 
-  /** The bytes of an answer have been passed on. */
+  /** Records consumed response bytes and acknowledges them in batches. */
   acknowledge(bytes: number): void {
     this.unacknowledgedBytes += bytes;
     if (this.unacknowledgedBytes < ACKNOWLEDGE_AFTER_BYTES) return;
@@ -76,7 +71,7 @@
     this.unacknowledgedBytes = 0;
   }
 
-  /** Whether the peer may have got the call. */
+  /** Whether the peer may have received the call. */
   get written(): boolean {
     return this.link.isOpen;
   }
@@ -112,11 +107,11 @@
         return;
       case 'call':
       case 'cancel':
-      // Only the gate's side gets these.
+      // Only sent to the called side.
     }
   }
 
-  /** Sends a body that is too large to be held. */
+  /** Sends a streamed body in data frames, as far as the window allows. */
   async sendBody(body: Readable): Promise<void> {
     const { link, id } = this;
     try {
@@ -128,12 +123,12 @@
       }
       link.send({ type: 'end', id });
     } catch {
-      // The caller's body broke off: the peer is told, and the end of the caller's connection ends the call.
+      // The caller's body failed. The call itself ends when the caller's connection closes.
       link.send({ type: 'broken', id });
     }
   }
 
-  /** The link is over. */
+  /** Fails the call because the link was closed. @param wasConnected whether the call may have been sent */
   onClose(wasConnected: boolean): void {
     this.resumeBody?.();
     this.listener.onFailure(wasConnected);
--- a/src/link/outcome-fields.ts
+++ b/src/link/outcome-fields.ts
@@ -1,15 +1,10 @@
-/**
- * An outcome among the fields of an answer, a head or a refusal.
- *
- * For: `answer-fields.ts` and the refusal in `frame-codec.ts`. Owns: the order of the fields and what an absent one
- * means. Relies on: the values of `Verdict`, `RefusalReason` and `RepeatRoom`, which travel as they are.
- */
+/** Encoding of an outcome inside response, head and refusal frames. Enum and string values are sent unchanged. */
 import type { CrashNote, Outcome } from '../call/outcome.js';
 import type { RefusalReason } from '../call/refusal.js';
 import type { Verdict } from '../common/verdict.js';
 import { RepeatRoom } from '../retry/repeat-room.js';
 
-/** In this order on the wire; a new field goes to the end. */
+/** Fields of an outcome, in wire order. New fields must be appended. */
 export type OutcomeFields = [
   verdict: Verdict,
   refusal: RefusalReason | null,
@@ -21,11 +16,11 @@
   congestion: number | null,
   rejectedByTarget: boolean,
   repeatRoom: RepeatRoom,
-  /** Absent in frames of processes that do not know it. */
+  /** Absent if the sender's version does not support it. */
   crashNote?: CrashNote | null,
 ];
 
-/** The fields of an outcome. */
+/** Encodes an outcome. */
 export function toOutcomeFields(outcome: Outcome): OutcomeFields {
   const { verdict, refusal, overloaded, nested, unspentRetries, load, congestion } = outcome;
   const isRejectedByTarget = outcome.rejectedByTarget === true;
@@ -44,7 +39,7 @@
   ];
 }
 
-/** The outcome with these fields. */
+/** Decodes an outcome. */
 export function fromOutcomeFields(fields: OutcomeFields): Outcome {
   const [
     verdict,
--- a/src/link/peer-link.ts
+++ b/src/link/peer-link.ts
@@ -1,9 +1,4 @@
-/**
- * The connection to one other sidecar, at its calling side.
- *
- * For: `link-pool.ts`. Owns: the state of the connection, the calls under way on it, and the frames that wait until it
- * is open. Relies on: `link-connection.ts` to send frames and to end when the peer stays silent.
- */
+/** The calling side of a link to another sidecar. Frames are queued until the connection is open. */
 import { connect, type Socket } from 'node:net';
 import { Readable } from 'node:stream';
 import { SYSTEM_CLOCK } from '../common/clock.js';
@@ -13,21 +8,22 @@
 import { LinkStream, type LinkCall, type LinkCallListener } from './link-stream.js';
 import type { HeartbeatMonitor } from './peer-watch.js';
 
-/** Longest wait for a connection to be made, in milliseconds. */
+/** Connect timeout. */
 const CONNECT_TIMEOUT_MS = 500;
 /**
- * A link that has been idle for this long is asked for a sign of life before a call is written to it, in milliseconds:
- * its peer may have lost power and forgotten it, and the first calls were lost then as "may have run". The figure is not
- * measured; `test/link/silent-link.test.ts` holds what it is for.
+ * Idle time after which a link is probed with a ping before a call is sent. If the peer went down unnoticed, calls that
+ * were sent without a probe would fail as "may have run".
  */
 const PROBE_AFTER_MS = 1_000;
-/** Longest wait for that sign, in milliseconds: longer than a way there and back between regions. */
+/** Probe timeout. Exceeds the round-trip time between regions. */
 const PROBE_TIMEOUT_MS = 300;
 
 /**
- * `connecting`: the connection is being made. `probing`: it was idle for long, and the peer was asked for a sign of life.
- * In both, frames wait. `open`: frames are written at once. A connection that ends keeps its last state: a call may have
- * reached the peer if that was `open`.
+ * - `connecting`: the connection is being established; frames are queued.
+ * - `probing`: a ping was sent after a long idle time; frames are queued.
+ * - `open`: frames are sent immediately.
+ *
+ * A closed link keeps its last state: calls may have reached the peer only if it was `open`.
  */
 type LinkState = 'connecting' | 'probing' | 'open';
 
@@ -37,7 +33,7 @@
   private readonly connection: LinkConnection;
   private readonly calls: InFlightCalls<LinkStream>;
   private nextId = 1;
-  /** Frames that wait until the link is open. */
+  /** Frames to send once the link is open. */
   private queuedFrames: LinkFrame[] = [];
 
   constructor(
@@ -56,12 +52,12 @@
     this.awaitConnection(socket);
   }
 
-  /** Whether frames are written at once. */
+  /** Whether frames are sent immediately instead of queued. */
   get isOpen(): boolean {
     return this.state === 'open';
   }
 
-  /** Whether the peer has fallen silent while calls are under way: it gets no new ones. */
+  /** Whether the peer has not answered heartbeats lately and must not get new calls. */
   get isSuspect(): boolean {
     return this.connection.isSuspect;
   }
@@ -93,14 +89,14 @@
     else this.queuedFrames.push(frame);
   }
 
-  /** Tells the peer that a call is over; one that has not been written yet is never sent. */
+  /** Cancels a call at the peer, or removes its frames from the queue if they have not been sent. */
   cancelCall(id: number): void {
     if (this.isOpen) this.connection.send({ type: 'cancel', id });
     else
       this.queuedFrames = this.queuedFrames.filter((frame) => !('id' in frame) || frame.id !== id);
   }
 
-  /** Forgets a call. @returns whether it was under way */
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean {
     return this.calls.release(id);
   }
@@ -133,7 +129,7 @@
     if (SYSTEM_CLOCK.now() - this.connection.lastReceivedAt < PROBE_AFTER_MS) return;
     this.state = 'probing';
     this.connection.ping();
-    // What arrived while this process stood still is read before the peer is given up.
+    // Reads data that arrived while this process was stalled before the probe counts as failed.
     this.probeTimer = setTimeout(() => setImmediate(() => this.onProbeTimeout()), PROBE_TIMEOUT_MS);
   }
 
--- a/src/link/peer-transport.ts
+++ b/src/link/peer-transport.ts
@@ -1,8 +1,6 @@
 /**
- * Sends the attempts of one routed call to the sidecars beside its targets.
- *
- * For: the ingress. Owns: the headers that the call carries, and the state of each attempt. Relies on: `link-pool.ts` to
- * carry the frames; an attempt to a sidecar that has fallen silent fails at once, as not written.
+ * Sends the attempts of one routed call to other sidecars and relays the response to the caller. An attempt to a sidecar
+ * that does not answer heartbeats fails immediately, as not written.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CallContext } from '../call/call-context.js';
@@ -22,18 +20,18 @@
 import type { LinkPool } from './link-pool.js';
 import type { LinkCallListener, LinkStream } from './link-stream.js';
 
-/** What the transports of one sidecar share. */
+/** Options that all transports of a sidecar share. */
 export interface PeerTransportOptions {
   readonly clock: Clock;
   readonly links: LinkPool;
   readonly names: TargetHeaders;
-  /** Lower-case names of headers that the gate or this side sets; see {@link replacedHeaders}. */
+  /** Lower-case names of request headers to drop, see {@link replacedHeaders}. */
   readonly replacedHeaders: ReadonlySet<string>;
-  /** Service of this machine, named to the targets of the calls that begin here. */
+  /** Returns the name of the local service, which is sent to the targets as the calling service. */
   readonly callingService: () => string;
 }
 
-/** Headers of a request that are not passed on, because this side or the gate sets them. */
+/** Returns the request headers that are not forwarded, because this sidecar or the gate sets them. */
 export function replacedHeaders(names: TargetHeaders): ReadonlySet<string> {
   return new Set([
     'expect',
@@ -54,7 +52,7 @@
     private readonly message: IncomingMessage,
     private readonly body: RequestBody,
     private readonly response: ServerResponse,
-    /** Name of the group whose key the caller presented. */
+    /** Name of the group that the caller's API key belongs to. */
     group: string | undefined,
   ) {
     const { names, callingService, replacedHeaders } = options;
@@ -89,16 +87,17 @@
 }
 
 /**
- * `waiting`: no answer has begun. `relaying`: its head was passed on. `over`: it ended, failed or was cancelled, and what
- * comes late is dropped.
+ * - `waiting`: no response yet.
+ * - `relaying`: the response head was relayed to the caller.
+ * - `over`: the attempt completed, failed or was cancelled; later events are ignored.
  */
 type AttemptState = 'waiting' | 'relaying' | 'over';
 
-/** One attempt under way: passes the answer on to the caller with backpressure. */
+/** One attempt in flight. Relays the response to the caller with backpressure. */
 class PeerAttempt implements Attempt, LinkCallListener {
   stream: LinkStream | undefined;
   private state: AttemptState = 'waiting';
-  /** Bytes that the caller has not taken yet. */
+  /** Response bytes that are buffered until the caller's connection drains. */
   private bufferedBytes = 0;
 
   constructor(
--- a/src/link/peer-watch.ts
+++ b/src/link/peer-watch.ts
@@ -1,52 +1,41 @@
 /**
- * Heartbeats of busy links, with one timer for all links of a side: asks peers that have been silent for a sign of life,
- * and gives up those that stay silent. TCP alone notices a machine that lost power after minutes.
+ * Heartbeats of links with calls in flight, driven by one timer. Detects an unreachable peer much earlier than TCP does.
  *
- * | silent for                    | what happens                                               |
+ * | no data received for          | action                                                     |
  * | ----------------------------- | ---------------------------------------------------------- |
- * | {@link PING_AFTER_MS}         | it is pinged, and again each {@link MIN_PING_INTERVAL_MS}           |
- * | {@link SUSPECT_AFTER_MS}      | it gets no new calls                                       |
- * | {@link CLOSE_AFTER_MS}      | the connection is closed; its calls end as "may have run"  |
- *
- * For: `link-pool.ts` and `link-server.ts`. Owns: the timer and the set of busy peers. Relies on: each connection to note
- * when anything arrived.
+ * | {@link PING_AFTER_MS}         | pings, repeated every {@link MIN_PING_INTERVAL_MS}         |
+ * | {@link SUSPECT_AFTER_MS}      | sends no new calls to the peer                             |
+ * | {@link CLOSE_AFTER_MS}        | closes the connection; its calls fail as "may have run"    |
  */
 import { SYSTEM_CLOCK } from '../common/clock.js';
 
-/** A connection whose peer is watched while calls are under way. */
+/** A connection whose peer is monitored while calls are in flight. */
 export interface MonitoredPeer {
-  /** Monotonic milliseconds since which the peer is silent: anything last arrived, or its connection became busy. */
+  /** Monotonic time in milliseconds at which data was last received or monitoring started, whichever is later. */
   silentSince: number;
-  /** Monotonic milliseconds at which it was last asked for a sign of life. */
+  /** Monotonic time in milliseconds of the last ping. */
   lastPingAt: number;
-  /** Whether the peer has been silent for so long that it is to get no new calls. */
+  /** Whether no data was received for so long that the peer must not get new calls. */
   isSuspect: boolean;
   ping(): void;
   close(): void;
 }
 
-/** Time between two looks at the peers, in milliseconds. */
+/** Interval between two checks of the peers. */
 const CHECK_INTERVAL_MS = 100;
-/**
- * Silence after which a busy peer is asked for a sign of life, in milliseconds: longer than most calls take.
- */
+/** Time without received data after which a peer is pinged. Longer than most calls take. */
 const PING_AFTER_MS = 200;
 /**
- * Silence after which a busy peer gets no new calls, in milliseconds: it has not answered a ping for at least 150 ms, more
- * than a way there and back between regions. Without this bound, calls are written to a link that is cut, and lost as "may
- * have run", until it is given up. `test/link/silent-link.test.ts` holds that.
+ * Time without received data after which a peer gets no new calls. By then a ping has been unanswered for at least 150 ms,
+ * more than a round trip between regions. Until the connection is closed, calls sent to an unreachable peer would fail as
+ * "may have run".
  */
 const SUSPECT_AFTER_MS = 450;
-/**
- * Silence after which the link is given up, in milliseconds: longer than a way there and back between regions and than a
- * stall of either process (docs/PROOFS.md).
- */
+/** Time without received data after which a connection is closed. Longer than a stall of either process. */
 const CLOSE_AFTER_MS = 1_400;
-/**
- * A check that comes this long after the one before means that this process stood still, not its peers. In milliseconds.
- */
+/** Time since the previous check that indicates a stall of this process, for which no peer is blamed. */
 const STALL_THRESHOLD_MS = 250;
-/** Least time from one ping to the next, in milliseconds: a peer may work on a call for long. */
+/** Minimum time between two pings of a peer, which may work on a call for long. */
 const MIN_PING_INTERVAL_MS = 250;
 
 export class HeartbeatMonitor {
@@ -54,7 +43,7 @@
   private timer: NodeJS.Timeout | undefined;
   private lastCheckAt = 0;
 
-  /** Watches a peer from now on. */
+  /** Starts monitoring a peer. */
   add(peer: MonitoredPeer): void {
     if (this.peers.has(peer)) return;
     peer.silentSince = SYSTEM_CLOCK.now();
@@ -64,7 +53,7 @@
     this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS);
   }
 
-  /** Watches a peer no more. */
+  /** Stops monitoring a peer. */
   remove(peer: MonitoredPeer): void {
     this.peers.delete(peer);
     peer.isSuspect = false;
--- a/src/link/server-link.ts
+++ b/src/link/server-link.ts
@@ -1,8 +1,6 @@
 /**
- * One connection from another sidecar, at its called side.
- *
- * For: `link-server.ts`. Owns: whether the peer has shown the link token, and the calls under way. Relies on: the peer's
- * first frame to carry the token; any other frame before it, heartbeats excepted, closes the connection.
+ * The called side of a link. The peer must authenticate with the link token in a hello frame; before that, any frame
+ * except heartbeats closes the connection.
  */
 import type { Socket } from 'node:net';
 import { isSameToken } from '../http/link-token.js';
@@ -42,7 +40,7 @@
     this.connection.sendLater(pending);
   }
 
-  /** Forgets a call. @returns whether it was under way */
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean {
     return this.calls.release(id);
   }
--- a/src/node/node-inbound-server.ts
+++ b/src/node/node-inbound-server.ts
@@ -1,8 +1,6 @@
 /**
- * The inbound side of a node: takes calls from edges and other nodes for its one target.
- *
- * Owns the exchanges under way, and the registry's entry of each. Relies on the link token to tell shoredoor's own
- * processes from strangers, and on the gate for every decision about a call.
+ * The inbound server of a node: receives calls from edges and other nodes for the local target. A call context is only
+ * trusted if the request carries the link token.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { bodyNotTaken, CallerExchange, type BodyRefusalReason } from '../http/caller-exchange.js';
@@ -26,7 +24,7 @@
 import { newSpanId, newTraceId, parseTraceParent } from '../call/trace-parent.js';
 import { isSameToken } from '../http/link-token.js';
 
-/** What the inbound side is made of. */
+/** Options of {@link NodeInboundServer}. */
 export interface InboundServerOptions {
   readonly service: string;
   readonly services: InboundServices;
@@ -36,25 +34,25 @@
   readonly bodyLimits: BodyLimits;
   readonly stats: CallStats;
   readonly table: () => PolicyTable | undefined;
-  /** Handles a message about claims from another node. */
+  /** Handles a claim message from another node. */
   readonly onClaimMessage: (message: ClaimMessage) => ClaimReply;
 }
 
-/** Group of calls that carry no trusted context. */
+/** Group of calls without a trusted context. */
 export const UNATTRIBUTED_GROUP = 'unattributed';
-/** Kind of calls that match no declared kind. */
+/** Kind of calls that do not match a declared kind. */
 export const UNKNOWN_KIND = 'unknown';
 
-/** Deadline of a call of no declared kind, in milliseconds from its arrival. */
+/** Deadline of calls without a declared kind, relative to their arrival. */
 const DEFAULT_DEADLINE_MS = 2_000;
 const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
-/** Longer keys are not claimed, in characters: each is remembered on three nodes. */
+/** Maximum number of characters of a key. Longer ones are not claimed, since three nodes store each key. */
 const MAX_KEY_LENGTH = 256;
 
 export class NodeInboundServer {
   constructor(private readonly options: InboundServerOptions) {}
 
-  /** Handles one call. */
+  /** Handles a call or a claim message. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     if (message.headers[MESSAGE_HEADER] === CLAIM_MESSAGE && this.hasLinkToken(message)) {
       void answerClaimMessage(message, response, this.options.onClaimMessage);
@@ -65,7 +63,7 @@
     exchange.start();
   };
 
-  /** The context that a shoredoor process sent, or undefined. */
+  /** Returns the context sent by another shoredoor process, or undefined if there is none or it is not trusted. */
   private parseTrustedContext(message: IncomingMessage): CallContext | undefined {
     const text = message.headers[CONTEXT_HEADER];
     if (typeof text !== 'string' || !this.hasLinkToken(message)) return undefined;
@@ -79,7 +77,7 @@
     return typeof token === 'string' && isSameToken(token, this.options.linkToken);
   }
 
-  /** The context of a call from outside: least importance, no group, no retries. */
+  /** Creates the context of a call without a trusted one: lowest importance, no group, no retries. */
   private createUntrustedContext(message: IncomingMessage): CallContext {
     const table = this.options.table() ?? EMPTY_POLICY_TABLE;
     const path = requestPath(message.url);
@@ -95,7 +93,7 @@
   }
 }
 
-/** One call under way through the node. */
+/** One inbound call in flight. */
 class InboundExchange extends CallerExchange {
   private readonly spanId = newSpanId();
   private readonly startedAt: number;
@@ -155,7 +153,7 @@
     this.call.cancel();
   }
 
-  /** The key to claim for a call that may run at most once. */
+  /** Returns the deduplication key of a call that must not run twice, or undefined if no claim is needed. */
   private getClaimKey(): string | undefined {
     const key = this.message.headers[IDEMPOTENCY_KEY_HEADER];
     if (typeof key !== 'string' || key === '' || key.length > MAX_KEY_LENGTH) return undefined;
--- a/src/node/node-outbound-server.ts
+++ b/src/node/node-outbound-server.ts
@@ -1,9 +1,6 @@
 /**
- * The outbound side of a node: the target's own calls to other services leave through it. The
- * `Host` of a call names the service; `traceparent` names the call on whose behalf it is made.
- *
- * Owns the exchanges under way. Relies on the registry of the node's inbound calls, whose deadline and retries a call takes
- * over, and on the router for everything after the body.
+ * The outbound server of a node: routes the calls that the local target makes to other services. The `Host` header names
+ * the service, `traceparent` the inbound call on whose behalf the call is made and whose deadline and retries it inherits.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
@@ -26,7 +23,7 @@
 import { newTraceId, parseTraceParent } from '../call/trace-parent.js';
 import { SOON_SECONDS } from '../call/retry-after.js';
 
-/** What the outbound side is made of. */
+/** Options of {@link NodeOutboundServer}. */
 export interface OutboundServerOptions {
   readonly clock: Clock;
   readonly router: OutboundRouter;
@@ -35,13 +32,13 @@
   readonly bodyLimits: BodyLimits;
   readonly stats: CallStats;
   readonly table: () => PolicyTable | undefined;
-  /** Whether any endpoint of the service is known. */
+  /** Returns whether any endpoint of the service is known. */
   readonly hasService: (service: string) => boolean;
 }
 
-/** Deadline of a call of no declared kind, in milliseconds from its arrival. */
+/** Deadline of calls without a declared kind, relative to their arrival. */
 const DEFAULT_DEADLINE_MS = 2_000;
-/** Retries for each first attempt of calls of no declared kind. */
+/** Retries per first attempt for calls without a declared kind. */
 const DEFAULT_RETRY_RATIO = 0.1;
 
 const UNKNOWN_SERVICE: Refusal = {
@@ -54,7 +51,7 @@
 export class NodeOutboundServer {
   constructor(private readonly options: OutboundServerOptions) {}
 
-  /** Handles one call that the target makes. */
+  /** Handles one call from the target. */
   readonly handle = (message: IncomingMessage, response: ServerResponse): void => {
     const parent = parseTraceParent(message.headers.traceparent as string | undefined);
     const inbound = this.options.registry.find(parent);
@@ -62,7 +59,7 @@
   };
 }
 
-/** One call that the target makes. */
+/** One outbound call in flight. */
 class OutboundExchange extends CallerExchange {
   private readonly service: string;
   private readonly context: CallContext;
@@ -134,7 +131,7 @@
         this.breakOff();
         return;
       case 'relayed':
-        // No latency: the node of the callee counts it.
+        // The callee's node records the latency.
         this.countRelayed(undefined);
     }
   }
@@ -155,7 +152,7 @@
   }
 }
 
-/** The context of a call that cannot be tied to an inbound call: served, but never retried. */
+/** Creates the context of a call that belongs to no known inbound call. Such calls are never retried. */
 function createUnattributedContext(
   clock: Clock,
   table: PolicyTable,
--- a/src/observe/admin-server.ts
+++ b/src/observe/admin-server.ts
@@ -1,33 +1,27 @@
-/**
- * Serves /metrics, /healthz and /readyz of a program: whether it runs, whether it is to be given work, and its counters.
- * Owns its server; relies on the program to say whether it is ready, and reads all metrics when they are scraped.
- */
+/** The admin server of a program, with `/metrics`, `/healthz` and `/readyz`. Metrics are collected on each scrape. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Registry, collectDefaultMetrics } from 'prom-client';
 import type { ListenAddress } from '../http/listen.js';
 import { ListeningServer } from '../http/listening-server.js';
 
-/** What an admin server shows. */
+/** Options of an admin server. */
 export interface AdminOptions {
   readonly address: ListenAddress;
   readonly registry: Registry;
-  /** Whether the program takes work; the reason when it does not. */
+  /** Reports whether the program accepts work, and the reason if it does not. */
   readonly readiness: () => ReadinessReport;
 }
 
-/** The answer of /readyz. */
+/** Result of a readiness check, served at `/readyz`. */
 export interface ReadinessReport {
   readonly ready: boolean;
   readonly detail: string;
 }
 
-/**
- * Time between two looks at the delay of the event loop, in milliseconds. Each one wakes the process:
- * at prom-client's default of 10 an idle process wakes a hundred times a second for nothing else.
- */
+/** Sampling interval of the event loop delay. Each sample wakes the process, 100 times a second by default. */
 const EVENT_LOOP_SAMPLE_INTERVAL_MS = 1_000;
 
-/** A metrics registry with the process's own metrics. */
+/** Creates a metrics registry with the default metrics of the process. */
 export function createMetricsRegistry(): Registry {
   const registry = new Registry();
   collectDefaultMetrics({
--- a/src/observe/admission-metrics.ts
+++ b/src/observe/admission-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a gate's admission controller, read when scraped. Owns nothing. */
+/** Prometheus gauges of a gate's admission controller, collected on each scrape. */
 import { Gauge, type Registry } from 'prom-client';
 import type { AdmissionController, AdmissionStatus } from '../admission/admission-controller.js';
 
@@ -8,7 +8,6 @@
   { name: 'waiting', help: 'Calls that wait to be let in.', value: 'waiting' },
 ];
 
-/** Registers the gauges. */
 export function registerAdmissionMetrics(registry: Registry, admission: AdmissionController): void {
   for (const { name, help, value } of GAUGES) {
     new Gauge({
--- a/src/observe/call-metrics.ts
+++ b/src/observe/call-metrics.ts
@@ -1,8 +1,8 @@
-/** Prometheus metrics over a process's call counters, read when scraped. Owns nothing; the counters are `CallStats`. */
+/** Prometheus metrics of {@link CallStats}, collected on each scrape. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 import { LATENCY_BOUNDS_MS, type CallStats } from '../call/call-stats.js';
 
-/** Registers the metrics of one {@link CallStats}. @param direction `inbound`, `outbound` or `edge` */
+/** @param direction part of the metric names: `inbound`, `outbound` or `edge` */
 export function registerCallMetrics(registry: Registry, stats: CallStats, direction: string): void {
   new Counter({
     name: `shoredoor_${direction}_calls_total`,
--- a/src/observe/control-metrics.ts
+++ b/src/observe/control-metrics.ts
@@ -1,9 +1,8 @@
-/** Prometheus metrics of a control replica: what it has accepted, and who waits for news. Owns nothing. */
+/** Prometheus metrics of a control replica: its revision and the requests that wait for changes. */
 import { Gauge, type Registry } from 'prom-client';
 import type { ChangeNotifier } from '../control/change-notifier.js';
 import type { ResourceStore } from '../control/resource-store.js';
 
-/** Registers the metrics of one control replica. */
 export function registerControlMetrics(
   registry: Registry,
   store: ResourceStore,
--- a/src/observe/follower-metrics.ts
+++ b/src/observe/follower-metrics.ts
@@ -1,8 +1,7 @@
-/** Prometheus metrics of a process that follows control: how far behind its configuration is. Owns nothing. */
+/** Prometheus metrics of a {@link Follower}: the revision and the age of its configuration. */
 import { Gauge, type Registry } from 'prom-client';
 import type { Follower } from '../follower/follower.js';
 
-/** Registers the metrics of one {@link Follower}. */
 export function registerFollowerMetrics(registry: Registry, follower: Follower): void {
   new Gauge({
     name: 'shoredoor_applied_revision',
--- a/src/observe/quarantine-metrics.ts
+++ b/src/observe/quarantine-metrics.ts
@@ -1,15 +1,15 @@
-/** Prometheus metrics of crashes of the target and of requests that are kept from targets. Owns nothing. */
+/** Prometheus metrics of target crashes and quarantined requests, collected on each scrape. */
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** Where the sources come from. */
+/** Functions that return the current values. */
 export interface QuarantineMetricSources {
-  /** Crashes of the targets beside this process since its start. */
+  /** Crashes of the local targets since the start of this process. */
   readonly crashes: () => number;
-  /** Quarantines that this process knows, in force or ended lately. */
+  /** Known quarantines, active or recently ended. */
   readonly quarantines: () => number;
 }
 
-/** Registers the metrics. Requests refused for it are counted with all refusals, by their reason. */
+/** Refusals due to a quarantine are counted by reason in the call metrics. */
 export function registerQuarantineMetrics(
   registry: Registry,
   sources: QuarantineMetricSources,
--- a/src/observe/retry-metrics.ts
+++ b/src/observe/retry-metrics.ts
@@ -1,4 +1,4 @@
-/** Prometheus metrics of a gate's part of its service's retry budget. Owns nothing. */
+/** Prometheus gauges of a gate's part of its service's retry budget, collected on each scrape. */
 import { Gauge, type Registry } from 'prom-client';
 import type { ArrivalCounts, ServiceRetryBudget } from '../retry/service-retry-budget.js';
 
@@ -12,7 +12,7 @@
   { name: 'allowed', help: 'Repeats that the budget allows in such a window.', value: 'allowed' },
 ];
 
-/** Registers the gauges. Refused repeats are counted with all refusals, by their reason. */
+/** Refused repeats are counted by reason in the call metrics. */
 export function registerRetryMetrics(registry: Registry, budget: ServiceRetryBudget): void {
   for (const { name, help, value } of GAUGES) {
     new Gauge({
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -44,7 +44,7 @@
   body: Buffer.from('whole'),
 };
 
-/** Collects what becomes of one call. */
+/** Records the events of one call. */
 class Recorder extends EventEmitter implements LinkCallListener {
   readonly events: string[] = [];
   private bytes = '';
@@ -210,9 +210,8 @@
   });
 
   /**
-   * Symptom: a caller lost an answer that its target had given.
-   * Sequence: the target answers; in the same turn the stopping process ends its links.
-   * Cause: frames wait for the end of their turn, and ending a link at once drops them.
+   * Guards against lost responses when a process ends its links in the same event loop turn in which the target
+   * responds: frames are only written at the end of the turn.
    */
   it('delivers the answers of the turn in which it ends', async () => {
     const { server, pool, origin } = await link((call) => {
--- a/test/link/silent-link.test.ts
+++ b/test/link/silent-link.test.ts
@@ -1,10 +1,6 @@
 /**
- * Symptom: requests that had reached no target ended as "may have run", for 1.4 s after a link to another sidecar
- * had been cut, and the first call on an idle link after its peer had lost power.
- * Sequence: bytes vanish on an open connection; calls are still written to it until it is given up.
- * Cause: any call on a connected link counts as one that may have arrived, and nothing asked whether the peer is
- * still there before a call was written.
- * Settled by: 424 such answers on a day with cut machines, none on days without.
+ * Guards against calls that fail as "may have run" although they reached no target, because they were sent to a peer that
+ * had become unreachable: after the link was cut, or after the peer lost power while the link was idle.
  */
 import { expect } from 'chai';
 import { EventEmitter, once } from 'node:events';
@@ -45,9 +41,9 @@
   headers: [],
   body: null,
 };
-/** Longer than a link may be idle before its peer is asked for a sign of life. */
+/** Longer than the idle time after which a link is probed. */
 const IDLE_MS = 1_100;
-/** A silent link is given up then. */
+/** Time without received data after which a link is closed. */
 const CLOSED_AFTER_MS = 1_400;
 const POLL_MS = 50;
 const DIRECTIONS: SilentDirections[] = [
@@ -56,7 +52,7 @@
   { toServer: false, toClient: true },
 ];
 
-/** Hears how one call ends. */
+/** Reports how one call ends. */
 class CallObserver extends EventEmitter implements LinkCallListener {
   readonly ended = once(this, 'over').then(([how]) => how as string);
 
@@ -64,7 +60,7 @@
     this.emit('over', 'answered');
   }
   onHead(): void {
-    // The answers of this test are whole.
+    // All responses in this test are complete.
   }
   onRefused(): void {
     this.emit('over', 'refused');
