--- a/src/link/incoming-link-call.ts
+++ b/src/link/incoming-link-call.ts
@@ -118,7 +118,7 @@
         this.bodyStream?.push(null);
         return;
       case 'broken':
-        this.destroyBody('the body broke off');
+        this.destroyBody('Request body is incomplete');
         return;
       default:
       // The other frame types are only sent to the calling side.
@@ -129,7 +129,7 @@
   onCancelled(): void {
     this.link.release(this.frame.id);
     this.pendingHead = undefined;
-    this.destroyBody('the caller is gone');
+    this.destroyBody('Call was cancelled or its connection closed');
     this.emit('cancel');
   }
 
