--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -77,20 +77,20 @@
 }
 
 describe('a link between sidecars', () => {
-  const open: { destroy(): void }[] = [];
+  const resources: { destroy(): void }[] = [];
   afterEach(() => {
-    for (const part of open.splice(0)) part.destroy();
+    for (const resource of resources.splice(0)) resource.destroy();
   });
 
-  async function link(handler: (call: IncomingLinkCall) => void, token = TOKEN) {
+  async function startLink(handler: (call: IncomingLinkCall) => void, token = TOKEN) {
     const server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, handler);
     const pool = new LinkPool(token);
-    open.push(pool, server);
+    resources.push(pool, server);
     return { server, pool, origin: server.origin };
   }
 
-  async function run(handler: (call: IncomingLinkCall) => void, call = CALL, token = TOKEN) {
-    const { pool, origin } = await link(handler, token);
+  async function runCall(handler: (call: IncomingLinkCall) => void, call = CALL, token = TOKEN) {
+    const { pool, origin } = await startLink(handler, token);
     const recorder = new Recorder();
     const finished = once(recorder, 'finished');
     pool.call(origin, call, recorder);
@@ -99,7 +99,7 @@
   }
 
   it('passes an answer on whole', async () => {
-    const events = await run((call) => {
+    const events = await runCall((call) => {
       call.takeOutcome = () => OUTCOME;
       call.writeHead(200, []);
       call.write(Buffer.from((call.body as Buffer).toString().repeat(2)));
@@ -110,7 +110,7 @@
 
   it('passes the head of an answer on before its body comes', async () => {
     const arrived = new EventEmitter();
-    const { pool, origin } = await link((call) => arrived.emit('call', call));
+    const { pool, origin } = await startLink((call) => arrived.emit('call', call));
     const recorder = new Recorder();
     const finished = once(recorder, 'finished');
     pool.call(origin, CALL, recorder);
@@ -184,14 +184,14 @@
 
   it('tells a refusal, a broken answer and a lost connection apart', async () => {
     const refusal: Outcome = { ...OUTCOME, refusal: 'overload', verdict: 'not-run' };
-    expect(await run((call) => call.refuse(refusal))).to.deep.equal(['refused overload']);
-    const broken = await run((call) => {
+    expect(await runCall((call) => call.refuse(refusal))).to.deep.equal(['refused overload']);
+    const broken = await runCall((call) => {
       call.takeOutcome = () => OUTCOME;
       call.writeHead(200, []);
       call.destroy();
     });
     expect(broken).to.deep.equal(['head 200', 'failed true']);
-    const lost = await run(() => open.at(-1)!.destroy());
+    const lost = await runCall(() => resources.at(-1)!.destroy());
     expect(lost).to.deep.equal(['failed true']);
   });
 
@@ -202,7 +202,7 @@
     server.close();
     await once(server, 'close');
     const pool = new LinkPool(TOKEN);
-    open.push(pool);
+    resources.push(pool);
     const recorder = new Recorder();
     pool.call(`http://127.0.0.1:${port}`, CALL, recorder);
     await once(recorder, 'finished');
@@ -214,7 +214,7 @@
    * responds: frames are only written at the end of the turn.
    */
   it('delivers the answers of the turn in which it ends', async () => {
-    const { server, pool, origin } = await link((call) => {
+    const { server, pool, origin } = await startLink((call) => {
       call.takeOutcome = () => OUTCOME;
       call.writeHead(200, []);
       call.write(Buffer.from('whole'));
@@ -230,14 +230,14 @@
 
   it('takes no call from a peer without the token', async () => {
     const calls: IncomingLinkCall[] = [];
-    const events = await run((call) => calls.push(call), CALL, 'another-token-entirely');
+    const events = await runCall((call) => calls.push(call), CALL, 'another-token-entirely');
     expect(events).to.deep.equal(['failed true']);
     expect(calls).to.deep.equal([]);
   });
 
   it('tells the gate when the caller cancels', async () => {
     const arrived = new EventEmitter();
-    const { pool, origin } = await link((call) => arrived.emit('call', call));
+    const { pool, origin } = await startLink((call) => arrived.emit('call', call));
     const stream = pool.call(origin, CALL, new Recorder());
     const [call] = (await once(arrived, 'call')) as [IncomingLinkCall];
     const cancelled = once(call, 'cancel');
@@ -248,7 +248,7 @@
   it('carries bodies that are larger than its window, in both directions', async () => {
     const size = 3_000_000;
     const chunks = Array.from({ length: 30 }, () => Buffer.alloc(size / 30, 'x'));
-    const events = await run(
+    const events = await runCall(
       (call) => {
         call.takeOutcome = () => OUTCOME;
         call.writeHead(200, []);
--- a/test/link/silent-link.test.ts
+++ b/test/link/silent-link.test.ts
@@ -81,11 +81,11 @@
   let server: LinkServer;
   let proxy: LoopbackProxy;
   let pool: LinkPool;
-  let answers: boolean;
+  let isResponding: boolean;
 
   beforeEach(async () => {
-    answers = true;
-    server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (call) => answer(call));
+    isResponding = true;
+    server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (call) => respond(call));
     proxy = await LoopbackProxy.start(Number(new URL(server.origin).port));
     pool = new LinkPool(TOKEN);
     expect(await call()).to.equal('answered');
@@ -97,8 +97,8 @@
     proxy.stop();
   });
 
-  function answer(incoming: IncomingLinkCall): void {
-    if (!answers) return;
+  function respond(incoming: IncomingLinkCall): void {
+    if (!isResponding) return;
     incoming.takeOutcome = () => OUTCOME;
     incoming.writeHead(200, []);
     incoming.end();
@@ -121,7 +121,7 @@
     });
 
     it(`gets no new calls long before it is given up, ${name}`, async () => {
-      answers = false;
+      isResponding = false;
       proxy.silence(directions);
       const inFlightCall = call();
       const silentAt = performance.now();
@@ -132,7 +132,7 @@
       }
       expect(performance.now() - silentAt).to.be.below(CLOSED_AFTER_MS);
       expect(await inFlightCall).to.equal('lost');
-      answers = true;
+      isResponding = true;
       expect(await call()).to.equal('answered');
     });
   }
@@ -143,10 +143,10 @@
   });
 
   it('is not given up while a peer works on a call for long', async () => {
-    answers = false;
+    isResponding = false;
     const inFlightCall = call();
     await pause(2_000);
-    answers = true;
+    isResponding = true;
     expect(await call()).to.equal('answered');
     proxy.stop();
     expect(await inFlightCall).to.equal('lost');
@@ -157,7 +157,7 @@
     server.destroy();
     server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (incoming) => {
       arrived += 1;
-      answer(incoming);
+      respond(incoming);
     });
     const cancelled = pool.call(server.origin, CALL, new CallObserver());
     cancelled!.cancel();
