--- a/src/link/body-window.ts
+++ b/src/link/body-window.ts
@@ -1,25 +1,23 @@
 /**
- * Flow control of one body: holds its sender back to what its receiver takes.
- *
- * For: both sides of a link, one window for each body that they send. Owns: the count of bytes under way. Relies on: the
- * receiver's reports of what it has taken.
+ * Send window of one message body. Limits the bytes in flight to {@link BODY_WINDOW_BYTES}, so that a slow receiver
+ * applies backpressure to the sender.
  */
 import { BODY_WINDOW_BYTES } from './link-frames.js';
 
 export class BodyWindow {
-  /** Bytes that were sent and not yet reported as taken. */
-  private underWay = 0;
+  /** Bytes that were sent and not yet acknowledged by the receiver. */
+  private inFlightBytes = 0;
 
-  /** Whether more may be sent now. */
+  /** Whether more bytes may be sent. */
   get isOpen(): boolean {
-    return this.underWay < BODY_WINDOW_BYTES;
+    return this.inFlightBytes < BODY_WINDOW_BYTES;
   }
 
   onSent(bytes: number): void {
-    this.underWay += bytes;
+    this.inFlightBytes += bytes;
   }
 
-  onTaken(bytes: number): void {
-    this.underWay = Math.max(0, this.underWay - bytes);
+  onAcknowledged(bytes: number): void {
+    this.inFlightBytes = Math.max(0, this.inFlightBytes - bytes);
   }
 }
--- a/src/link/link-pool.ts
+++ b/src/link/link-pool.ts
@@ -1,41 +1,36 @@
-/**
- * The links of one sidecar to others, by the origin of the other: one each, made when it is used.
- *
- * For: the transports of the ingress. Owns: the links, and the one watch over their peers. Relies on: `peer-link.ts` to
- * say when a link is over; the next call to that origin makes a new one.
- */
+/** The outgoing links of a sidecar, one for each origin. A link is opened on first use and replaced after it has closed. */
 import type { LinkCall, LinkCallListener, LinkStream } from './link-stream.js';
 import { PeerLink } from './peer-link.js';
-import { PeerWatch } from './peer-watch.js';
+import { HeartbeatMonitor } from './peer-watch.js';
 
 export class LinkPool {
   private readonly links = new Map<string, PeerLink>();
-  private readonly watch = new PeerWatch();
+  private readonly heartbeats = new HeartbeatMonitor();
 
   constructor(private readonly token: string) {}
 
   /**
    * Sends a call to the sidecar at `origin`.
-   * @returns undefined, and the listener is never called, if that sidecar has fallen silent
+   * @returns undefined if that sidecar does not answer heartbeats; the listener is not called then
    */
   call(origin: string, call: LinkCall, listener: LinkCallListener): LinkStream | undefined {
-    const link = this.link(origin);
-    return link.isSuspect ? undefined : link.call(call, listener);
+    const getOrCreateLink = this.link(origin);
+    return getOrCreateLink.isSuspect ? undefined : getOrCreateLink.call(call, listener);
   }
 
-  /** Closes links to origins that are no longer used, unless calls are under way there. */
+  /** Closes idle links to all origins but these. */
   retain(origins: ReadonlySet<string>): void {
     for (const [origin, link] of this.links) {
       if (!origins.has(origin) && link.isIdle) link.close();
     }
   }
 
-  /** Ends every link once what still waits has been sent. */
+  /** Closes all links after their pending frames have been sent. */
   finish(): void {
     for (const link of this.links.values()) link.finish();
   }
 
-  /** Ends every link at once. */
+  /** Closes all links immediately. */
   destroy(): void {
     for (const link of [...this.links.values()]) link.close();
   }
@@ -43,7 +38,7 @@
   private link(origin: string): PeerLink {
     const existing = this.links.get(origin);
     if (existing !== undefined) return existing;
-    const link: PeerLink = new PeerLink(origin, this.token, this.watch, () => {
+    const link: PeerLink = new PeerLink(origin, this.token, this.heartbeats, () => {
       if (this.links.get(origin) === link) this.links.delete(origin);
     });
     this.links.set(origin, link);
--- a/src/link/link-stream.ts
+++ b/src/link/link-stream.ts
@@ -1,9 +1,4 @@
-/**
- * One call under way on a link, at its calling side.
- *
- * For: `peer-transport.ts`, through `link-pool.ts`. Owns: the windows of both bodies. Relies on: the link to send frames
- * and to say when it is over.
- */
+/** The calling side of one call on a link, with flow control of its request and response bodies. */
 import type { Readable } from 'node:stream';
 import type { Outcome } from '../call/outcome.js';
 import type { RawHeaders } from '../http/header-filter.js';
@@ -17,66 +12,66 @@
 
 /** A call to send. */
 export interface LinkCall extends Omit<CallFrame, 'type' | 'id' | 'body'> {
-  /** The whole body, or a stream that can be read once. */
+  /** The complete body, a stream of it, or null if there is none. */
   readonly body: Buffer | Readable | null;
 }
 
-/** Told how one call goes. */
+/** Receives the response of a call. */
 export interface LinkCallListener {
-  /** The whole answer came at once; nothing follows. */
+  /** A complete response; no other method is called afterwards. */
   onAnswer(status: number, headers: RawHeaders, outcome: Outcome, body: Buffer): void;
   onHead(status: number, headers: RawHeaders, outcome: Outcome): void;
   onRefused(outcome: Outcome): void;
-  /** @returns whether the bytes are taken; if not, {@link LinkStream.taken} follows later */
+  /** @returns whether the bytes were consumed; if not, call {@link LinkStream.acknowledge} once they are */
   onData(bytes: Buffer): boolean;
   onEnd(): void;
-  /** @param written whether the peer may have got the call */
+  /** @param written whether the peer may have received the call */
   onFailure(written: boolean): void;
 }
 
-/** What a call needs of its link. */
-interface CallingLink {
-  /** Whether frames are written at once. */
+/** The operations of a link that an outgoing call uses. */
+interface CallerSideLink {
+  /** Whether frames are sent immediately instead of queued. */
   readonly isOpen: boolean;
-  /** Whether the call is under way. */
+  /** Whether the call is in flight. */
   has(id: number): boolean;
   send(frame: LinkFrame): void;
-  /** Tells the peer that a call is over; one that has not been written yet is never sent. */
-  withdraw(id: number): void;
-  /** Forgets a call. @returns whether it was under way */
+  /** Cancels a call at the peer, or removes its frames from the queue if they have not been sent. */
+  cancelCall(id: number): void;
+  /** Removes a call. @returns whether it was in flight */
   release(id: number): boolean;
 }
 
-/** Bytes of an answer that are passed on before the peer is told, so that most answers need no frame for it. */
-const REPORT_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
+/** Consumed bytes after which an acknowledgement is sent. Smaller responses need none. */
+const ACKNOWLEDGE_AFTER_BYTES = BODY_WINDOW_BYTES / 2;
 
 export class LinkStream {
   private readonly window = new BodyWindow();
-  /** Continues {@link sendBody}, which waits for its window. */
+  /** Resumes {@link sendBody} when the window may have reopened. */
   private resumeBody: (() => void) | undefined;
-  /** Bytes that were taken and not reported yet. */
-  private unreported = 0;
+  /** Consumed response bytes that have not been acknowledged yet. */
+  private unacknowledgedBytes = 0;
 
   constructor(
-    private readonly link: CallingLink,
+    private readonly link: CallerSideLink,
     private readonly id: number,
     readonly listener: LinkCallListener,
   ) {}
 
-  /** Stops the call. The listener is not called any more. */
+  /** Cancels the call. The listener is not called afterwards. */
   cancel(): void {
-    if (this.link.release(this.id)) this.link.withdraw(this.id);
+    if (this.link.release(this.id)) this.link.cancelCall(this.id);
   }
 
-  /** The bytes of an answer have been passed on. */
-  taken(bytes: number): void {
-    this.unreported += bytes;
-    if (this.unreported < REPORT_AFTER_BYTES) return;
-    this.link.send({ type: 'taken', id: this.id, bytes: this.unreported });
-    this.unreported = 0;
+  /** Records consumed response bytes and acknowledges them in batches. */
+  acknowledge(bytes: number): void {
+    this.unacknowledgedBytes += bytes;
+    if (this.unacknowledgedBytes < ACKNOWLEDGE_AFTER_BYTES) return;
+    this.link.send({ type: 'taken', id: this.id, bytes: this.unacknowledgedBytes });
+    this.unacknowledgedBytes = 0;
   }
 
-  /** Whether the peer may have got the call. */
+  /** Whether the peer may have received the call. */
   get written(): boolean {
     return this.link.isOpen;
   }
@@ -96,7 +91,7 @@
         listener.onRefused(frame.outcome);
         return;
       case 'data':
-        if (listener.onData(frame.bytes)) this.taken(frame.bytes.length);
+        if (listener.onData(frame.bytes)) this.acknowledge(frame.bytes.length);
         return;
       case 'end':
         link.release(id);
@@ -107,39 +102,39 @@
         listener.onFailure(true);
         return;
       case 'taken':
-        this.window.onTaken(frame.bytes);
+        this.window.onAcknowledged(frame.bytes);
         this.resumeBody?.();
         return;
       case 'call':
       case 'cancel':
-      // Only the gate's side gets these.
+      // Only sent to the called side.
     }
   }
 
-  /** Sends a body that is too large to be held. */
+  /** Sends a streamed body in data frames, as far as the window allows. */
   async sendBody(body: Readable): Promise<void> {
     const { link, id } = this;
     try {
       for await (const chunk of body as AsyncIterable<Buffer>) {
         link.send({ type: 'data', id, bytes: chunk });
         this.window.onSent(chunk.length);
-        while (!this.window.isOpen && link.has(id)) await this.untilTaken();
+        while (!this.window.isOpen && link.has(id)) await this.waitForAcknowledgement();
         if (!link.has(id)) return;
       }
       link.send({ type: 'end', id });
     } catch {
-      // The caller's body broke off: the peer is told, and the end of the caller's connection ends the call.
+      // The caller's body failed. The call itself ends when the caller's connection closes.
       link.send({ type: 'broken', id });
     }
   }
 
-  /** The link is over. */
+  /** Fails the call because the link was closed. @param wasConnected whether the call may have been sent */
   onClose(wasConnected: boolean): void {
     this.resumeBody?.();
     this.listener.onFailure(wasConnected);
   }
 
-  private untilTaken(): Promise<void> {
+  private waitForAcknowledgement(): Promise<void> {
     return new Promise((resolve) => {
       this.resumeBody = resolve;
     });
--- a/test/link/silent-link.test.ts
+++ b/test/link/silent-link.test.ts
@@ -1,10 +1,6 @@
 /**
- * Symptom: requests that had reached no target ended as "may have run", for 1.4 s after a link to another sidecar
- * had been cut, and the first call on an idle link after its peer had lost power.
- * Sequence: bytes vanish on an open connection; calls are still written to it until it is given up.
- * Cause: any call on a connected link counts as one that may have arrived, and nothing asked whether the peer is
- * still there before a call was written.
- * Settled by: 424 such answers on a day with cut machines, none on days without.
+ * Guards against calls that fail as "may have run" although they reached no target, because they were sent to a peer that
+ * had become unreachable: after the link was cut, or after the peer lost power while the link was idle.
  */
 import { expect } from 'chai';
 import { EventEmitter, once } from 'node:events';
@@ -16,7 +12,7 @@
 import { LoopbackProxy, type SilentDirections } from '../../lab/soak/loopback-proxy.js';
 
 const TOKEN = 'token-of-the-silent-link-test';
-const ANSWERED: Outcome = {
+const OUTCOME: Outcome = {
   verdict: 'ran',
   refusal: undefined,
   overloaded: false,
@@ -45,10 +41,10 @@
   headers: [],
   body: null,
 };
-/** Longer than a link may be idle before its peer is asked for a sign of life. */
+/** Longer than the idle time after which a link is probed. */
 const IDLE_MS = 1_100;
-/** A silent link is given up then. */
-const GIVEN_UP_MS = 1_400;
+/** Time without received data after which a link is closed. */
+const CLOSED_AFTER_MS = 1_400;
 const POLL_MS = 50;
 const DIRECTIONS: SilentDirections[] = [
   { toServer: true, toClient: true },
@@ -56,15 +52,15 @@
   { toServer: false, toClient: true },
 ];
 
-/** Hears how one call ends. */
-class Ending extends EventEmitter implements LinkCallListener {
-  readonly over = once(this, 'over').then(([how]) => how as string);
+/** Reports how one call ends. */
+class CallObserver extends EventEmitter implements LinkCallListener {
+  readonly ended = once(this, 'over').then(([how]) => how as string);
 
   onAnswer(): void {
     this.emit('over', 'answered');
   }
   onHead(): void {
-    // The answers of this test are whole.
+    // All responses in this test are complete.
   }
   onRefused(): void {
     this.emit('over', 'refused');
@@ -85,11 +81,11 @@
   let server: LinkServer;
   let proxy: LoopbackProxy;
   let pool: LinkPool;
-  let answers: boolean;
+  let isResponding: boolean;
 
   beforeEach(async () => {
-    answers = true;
-    server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (call) => answer(call));
+    isResponding = true;
+    server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (call) => respond(call));
     proxy = await LoopbackProxy.start(Number(new URL(server.origin).port));
     pool = new LinkPool(TOKEN);
     expect(await call()).to.equal('answered');
@@ -101,17 +97,17 @@
     proxy.stop();
   });
 
-  function answer(incoming: IncomingLinkCall): void {
-    if (!answers) return;
-    incoming.takeOutcome = () => ANSWERED;
+  function respond(incoming: IncomingLinkCall): void {
+    if (!isResponding) return;
+    incoming.takeOutcome = () => OUTCOME;
     incoming.writeHead(200, []);
     incoming.end();
   }
 
   function call(): Promise<string> {
-    const ending = new Ending();
-    const stream = pool.call(proxy.origin, CALL, ending);
-    return stream === undefined ? Promise.resolve('not sent') : ending.over;
+    const observer = new CallObserver();
+    const stream = pool.call(proxy.origin, CALL, observer);
+    return stream === undefined ? Promise.resolve('not sent') : observer.ended;
   }
 
   for (const directions of DIRECTIONS) {
@@ -125,18 +121,18 @@
     });
 
     it(`gets no new calls long before it is given up, ${name}`, async () => {
-      answers = false;
+      isResponding = false;
       proxy.silence(directions);
-      const underWay = call();
+      const inFlightCall = call();
       const silentAt = performance.now();
-      let stream: unknown = underWay;
+      let stream: unknown = inFlightCall;
       while (stream !== undefined) {
         await pause(POLL_MS);
-        stream = pool.call(proxy.origin, CALL, new Ending());
+        stream = pool.call(proxy.origin, CALL, new CallObserver());
       }
-      expect(performance.now() - silentAt).to.be.below(GIVEN_UP_MS);
-      expect(await underWay).to.equal('lost');
-      answers = true;
+      expect(performance.now() - silentAt).to.be.below(CLOSED_AFTER_MS);
+      expect(await inFlightCall).to.equal('lost');
+      isResponding = true;
       expect(await call()).to.equal('answered');
     });
   }
@@ -147,13 +143,13 @@
   });
 
   it('is not given up while a peer works on a call for long', async () => {
-    answers = false;
-    const underWay = call();
+    isResponding = false;
+    const inFlightCall = call();
     await pause(2_000);
-    answers = true;
+    isResponding = true;
     expect(await call()).to.equal('answered');
     proxy.stop();
-    expect(await underWay).to.equal('lost');
+    expect(await inFlightCall).to.equal('lost');
   });
 
   it('never sends a call that was cancelled before it could be written', async () => {
@@ -161,13 +157,13 @@
     server.destroy();
     server = await LinkServer.start({ host: '127.0.0.1', port: 0 }, TOKEN, (incoming) => {
       arrived += 1;
-      answer(incoming);
+      respond(incoming);
     });
-    const cancelled = pool.call(server.origin, CALL, new Ending());
+    const cancelled = pool.call(server.origin, CALL, new CallObserver());
     cancelled!.cancel();
-    const ending = new Ending();
-    pool.call(server.origin, CALL, ending);
-    expect(await ending.over).to.equal('answered');
+    const observer = new CallObserver();
+    pool.call(server.origin, CALL, observer);
+    expect(await observer.ended).to.equal('answered');
     expect(arrived).to.equal(1);
   });
 });
