--- a/src/client/replica-requests.ts
+++ b/src/client/replica-requests.ts
@@ -40,7 +40,7 @@
 /** Pause between two rounds, in milliseconds. */
 const ROUND_PAUSE_MS = 300;
 
-export class ReplicaRequests {
+export class ReplicaClient {
   constructor(private readonly access: ControlAccess) {}
 
   /**
@@ -53,7 +53,7 @@
     for (let round = 0; round < MAX_ROUNDS; round += 1) {
       for (const origin of this.access.origins) {
         try {
-          const answer = await this.sendFollowing(origin, message);
+          const answer = await this.sendFollowingRedirects(origin, message);
           if (answer.status !== HttpStatus.ServiceUnavailable) return answer;
           lastAnswer = answer;
         } catch (error) {
@@ -64,7 +64,7 @@
       await pauseBetweenRounds();
     }
     if (lastAnswer !== undefined) return lastAnswer;
-    throw noAnswer(lastError);
+    throw createNoAnswerError(lastError);
   }
 
   /**
@@ -85,17 +85,17 @@
       const body = parseBody(await response.body.text());
       expectOk({ status: response.statusCode, body });
     }
-    let rest = '';
+    let partialLine = '';
     response.body.setEncoding('utf8');
     for await (const chunk of response.body) {
-      rest += chunk as string;
-      const lines = rest.split('\n');
-      rest = lines.pop() ?? '';
+      partialLine += chunk as string;
+      const lines = partialLine.split('\n');
+      partialLine = lines.pop() ?? '';
       for (const line of lines) yield JSON.parse(line) as WatchEvent;
     }
   }
 
-  private async sendFollowing(origin: string, message: ApiRequest): Promise<ApiAnswer> {
+  private async sendFollowingRedirects(origin: string, message: ApiRequest): Promise<ApiAnswer> {
     let url = origin + message.path;
     for (let redirects = 0; redirects <= MAX_REDIRECTS; redirects += 1) {
       const response = await request(url, {
@@ -132,7 +132,7 @@
 }
 
 /** The error where no replica has answered. */
-export function noAnswer(cause: unknown): RequestError {
+export function createNoAnswerError(cause: unknown): RequestError {
   const props: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
   return new RequestError('no control replica answered', { cause, props });
 }
--- a/src/client/resource-client.ts
+++ b/src/client/resource-client.ts
@@ -10,9 +10,9 @@
 import {
   expectOk,
   MAX_ROUNDS,
-  noAnswer,
+  createNoAnswerError,
   pauseBetweenRounds,
-  ReplicaRequests,
+  ReplicaClient,
   type ApiAnswer,
   type ControlAccess,
 } from './replica-requests.js';
@@ -37,14 +37,14 @@
 }
 
 export class ResourceClient {
-  private readonly requests: ReplicaRequests;
+  private readonly replicaClient: ReplicaClient;
 
   constructor(private readonly access: ControlAccess) {
-    this.requests = new ReplicaRequests(access);
+    this.replicaClient = new ReplicaClient(access);
   }
 
   async put(resource: Resource, change: ChangeOptions): Promise<ApiAnswer> {
-    return this.requests.send({
+    return this.replicaClient.send({
       method: 'PUT',
       path: resourcePath(resource) + dryRunQuery(change),
       headers: changeHeaders(change),
@@ -53,7 +53,7 @@
   }
 
   async delete(id: ResourceId, change: ChangeOptions): Promise<ApiAnswer> {
-    return this.requests.send({
+    return this.replicaClient.send({
       method: 'DELETE',
       path: resourcePath(id) + dryRunQuery(change),
       headers: changeHeaders(change),
@@ -61,18 +61,18 @@
   }
 
   async get(id: ResourceId): Promise<ApiAnswer> {
-    return this.requests.send({ method: 'GET', path: resourcePath(id) });
+    return this.replicaClient.send({ method: 'GET', path: resourcePath(id) });
   }
 
   /** @throws RequestError when the list cannot be had */
   async list(): Promise<ResourceList> {
-    const answer = await this.requests.send({ method: 'GET', path: '/v1/resources' });
+    const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/resources' });
     return expectOk(answer) as ResourceList;
   }
 
   /** @throws RequestError when the report cannot be had */
   async status(): Promise<StatusReport> {
-    const answer = await this.requests.send({ method: 'GET', path: '/v1/status' });
+    const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/status' });
     return expectOk(answer) as StatusReport;
   }
 
@@ -86,7 +86,7 @@
     for (let index = 0; ; index += 1) {
       const origin = this.access.origins[index % this.access.origins.length]!;
       try {
-        for await (const event of this.requests.watch(origin, revision)) {
+        for await (const event of this.replicaClient.watch(origin, revision)) {
           failures = 0;
           if (event.type === 'change') revision = event.change.revision;
           yield event;
@@ -95,7 +95,7 @@
       } catch (error) {
         if (error instanceof RequestError && error.status !== 0) throw error;
         failures += 1;
-        if (failures > MAX_ROUNDS * this.access.origins.length) throw noAnswer(error);
+        if (failures > MAX_ROUNDS * this.access.origins.length) throw createNoAnswerError(error);
         await pauseBetweenRounds();
       }
     }
--- a/src/http/caller-exchange.ts
+++ b/src/http/caller-exchange.ts
@@ -30,12 +30,12 @@
 }
 
 export abstract class CallerExchange {
-  /** @param countedAs name in the stats: of the route at an ingress, of the kind elsewhere */
+  /** @param statsName name in the stats: of the route at an ingress, of the kind elsewhere */
   protected constructor(
     protected readonly message: IncomingMessage,
     protected readonly response: ServerResponse,
     private readonly stats: CallStats,
-    private readonly countedAs: string,
+    private readonly statsName: string,
   ) {}
 
   /** The body has arrived, as far as it is held in memory. */
@@ -69,24 +69,24 @@
 
   /** The caller left before its answer was whole. */
   protected countCancelled(): void {
-    this.stats.kind(this.countedAs).cancelled += 1;
+    this.stats.kind(this.statsName).cancelled += 1;
   }
 
-  /** A whole answer was passed on. @param heldMs milliseconds since the request arrived; undefined where not measured */
-  protected countRelayed(heldMs: number | undefined): void {
-    const counts = this.stats.kind(this.countedAs);
+  /** A whole answer was passed on. @param durationMs milliseconds since the request arrived; undefined where not measured */
+  protected countRelayed(durationMs: number | undefined): void {
+    const counts = this.stats.kind(this.statsName);
     counts.relayed += 1;
-    if (heldMs !== undefined) counts.onLatency(heldMs);
+    if (durationMs !== undefined) counts.onLatency(durationMs);
   }
 
   /** An answer had begun and broke off: the caller must not take it for whole. */
   protected breakOff(): void {
-    this.stats.kind(this.countedAs).broken += 1;
+    this.stats.kind(this.statsName).broken += 1;
     this.response.destroy();
   }
 
   protected writeRefusal(refusal: Refusal, requestId: string, extraHeaders?: RawHeaders): void {
-    this.stats.kind(this.countedAs).onRefused(refusal.reason);
+    this.stats.kind(this.statsName).onRefused(refusal.reason);
     writeRefusal(this.response, refusal, requestId, extraHeaders);
   }
 }
--- a/src/http/claim-link.ts
+++ b/src/http/claim-link.ts
@@ -29,7 +29,7 @@
   timeoutMs: 5_000,
 };
 
-export interface ClaimLinkOptions {
+export interface ClaimTransportOptions {
   readonly pools: ConnectionPools;
   readonly linkToken: string;
   /** Inbound origin of a node, when it is known. */
@@ -37,7 +37,7 @@
 }
 
 export class HttpClaimTransport implements ClaimTransport {
-  constructor(private readonly options: ClaimLinkOptions) {}
+  constructor(private readonly options: ClaimTransportOptions) {}
 
   request(
     memberId: string,
--- a/src/http/header-filter.ts
+++ b/src/http/header-filter.ts
@@ -23,7 +23,7 @@
 ]);
 
 /** Every header of our own begins like this; see docs/reference/headers.md. */
-const OWN_PREFIX = 'shoredoor-';
+const SHOREDOOR_PREFIX = 'shoredoor-';
 
 /** The value of a header in a raw list; the first where it stands several times. */
 export function headerOf(raw: readonly string[], lowerName: string): string | undefined {
@@ -34,7 +34,7 @@
 }
 
 /** Names listed in `Connection`, which are hop-by-hop for this message alone. */
-function connectionOptions(value: string | undefined): ReadonlySet<string> | undefined {
+function parseConnectionHeader(value: string | undefined): ReadonlySet<string> | undefined {
   if (value === undefined) return undefined;
   const lower = value.toLowerCase();
   if (lower === 'keep-alive' || lower === 'close') return undefined;
@@ -45,19 +45,20 @@
  * The headers of a message that are passed on.
  * @param raw names and values alternating
  * @param connection value of the message's `Connection` header
- * @param dropped further lower-case names that stay behind
+ * @param excluded further lower-case names that stay behind
  */
 export function endToEndHeaders(
   raw: readonly string[],
   connection: string | undefined,
-  dropped: ReadonlySet<string>,
+  excluded: ReadonlySet<string>,
 ): RawHeaders {
-  const options = connectionOptions(connection);
+  const options = parseConnectionHeader(connection);
   const kept: RawHeaders = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index]!;
     const lower = name.toLowerCase();
-    if (HOP_BY_HOP.has(lower) || dropped.has(lower) || lower.startsWith(OWN_PREFIX)) continue;
+    if (HOP_BY_HOP.has(lower) || excluded.has(lower) || lower.startsWith(SHOREDOOR_PREFIX))
+      continue;
     if (options?.has(lower) === true) continue;
     kept.push(name, raw[index + 1]!);
   }
--- a/src/http/link-messages.ts
+++ b/src/http/link-messages.ts
@@ -42,11 +42,11 @@
     body: encodeMessage(message),
     signal,
   });
-  return { status: response.statusCode, bytes: await receive(response.body, onReceived) };
+  return { status: response.statusCode, bytes: await readBytes(response.body, onReceived) };
 }
 
 /** Reads a whole body. */
-async function receive(
+async function readBytes(
   body: AsyncIterable<Buffer>,
   onReceived: PostOptions['onReceived'],
 ): Promise<Buffer> {
--- a/src/http/listening-server.ts
+++ b/src/http/listening-server.ts
@@ -18,7 +18,7 @@
 /** Longer than the keep-alive of our own clients, so that they close idle connections first. In milliseconds. */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
 /** Interval between two looks for connections over these limits, in milliseconds. */
-const CONNECTION_CHECK_MS = 2_000;
+const CONNECTION_CHECK_INTERVAL_MS = 2_000;
 
 /** What clients may send, where it differs from shoredoor's own limits. */
 export interface ServerLimits {
@@ -69,7 +69,7 @@
         headersTimeout: HEADERS_TIMEOUT_MS,
         requestTimeout: REQUEST_TIMEOUT_MS,
         keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
-        connectionsCheckingInterval: CONNECTION_CHECK_MS,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
         noDelay: true,
       },
       listener,
--- a/src/http/node-transport.ts
+++ b/src/http/node-transport.ts
@@ -26,7 +26,7 @@
 import type { ConnectionPools } from './connection-pools.js';
 import type { RawHeaders } from './header-filter.js';
 import { RelayHandler, type RelayPolicy } from './relay-handler.js';
-import { relayedHeaders, sendRelayed } from './relayed-request.js';
+import { filterRequestHeaders, forwardRequest } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
 /** What the transports of one process share. */
@@ -46,7 +46,7 @@
     private readonly body: RequestBody,
     private readonly response: ServerResponse,
   ) {
-    this.baseHeaders = relayedHeaders(message);
+    this.baseHeaders = filterRequestHeaders(message);
   }
 
   get replayable(): boolean {
@@ -67,11 +67,11 @@
       LINK_HEADER,
       linkToken,
     ];
-    const handler = new RelayHandler(this.response, this.relayPolicy(), listener);
-    return sendRelayed(pools.get(endpoint.origin), { message, body, headers }, handler);
+    const handler = new RelayHandler(this.response, this.createRelayPolicy(), listener);
+    return forwardRequest(pools.get(endpoint.origin), { message, body, headers }, handler);
   }
 
-  private relayPolicy(): RelayPolicy {
+  private createRelayPolicy(): RelayPolicy {
     return {
       readHead: (status, headers) => {
         const text = headers[OUTCOME_HEADER];
--- a/src/http/relay-handler.ts
+++ b/src/http/relay-handler.ts
@@ -33,7 +33,7 @@
 
 /** Undici gives it back to {@link RelayHandler.onResponseError}, which looks at neither class nor code. */
 const ABORT_REASON = new Error('shoredoor: the attempt was stopped');
-const NOTHING_DROPPED: ReadonlySet<string> = new Set();
+const NO_EXCLUDED_HEADERS: ReadonlySet<string> = new Set();
 
 export class RelayHandler implements Dispatcher.DispatchHandler, Attempt {
   written = false;
@@ -47,13 +47,13 @@
     private readonly listener: AttemptListener,
   ) {}
 
-  private get isOver(): boolean {
+  private get isFinished(): boolean {
     return this.state === 'done' || this.state === 'cancelled';
   }
 
   /** Stops the attempt; the listener is not called any more. */
   cancel(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     if (this.state === 'waiting' && this.written) this.policy.onUnanswered?.();
     this.state = 'cancelled';
     this.response.off('drain', this.onDrain);
@@ -72,14 +72,14 @@
     statusCode: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.isOver || statusCode < 200) return;
+    if (this.isFinished || statusCode < 200) return;
     this.policy.onAnswered?.();
     const decision = this.listener.onHead(this.policy.readHead(statusCode, headers));
     if (decision === 'discard') {
       this.state = 'discarding';
       return;
     }
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.state = 'relaying';
     this.relayHead(controller, statusCode, headers);
   }
@@ -93,7 +93,7 @@
 
   onResponseEnd(): void {
     if (this.state === 'relaying' && this.policy.isCutOff?.() === true) {
-      this.breakOff();
+      this.abortResponse();
       return;
     }
     if (this.state === 'relaying') {
@@ -107,7 +107,7 @@
 
   onResponseError(_controller: Dispatcher.DispatchController, _error: Error): void {
     if (this.state === 'relaying') {
-      this.breakOff();
+      this.abortResponse();
       return;
     }
     const { state, written } = this;
@@ -118,7 +118,7 @@
   }
 
   /** The answer is not whole, and its receiver must see that. */
-  private breakOff(): void {
+  private abortResponse(): void {
     this.state = 'done';
     this.response.destroy();
     this.listener.onFailure({ reason: 'broken-answer', written: true });
@@ -129,15 +129,15 @@
     statusCode: number,
     headers: IncomingHttpHeaders,
   ): void {
-    const raw = toRawStrings(controller.rawHeaders, headers);
-    const kept = endToEndHeaders(raw, headers.connection, NOTHING_DROPPED);
+    const raw = toRawHeaders(controller.rawHeaders, headers);
+    const kept = endToEndHeaders(raw, headers.connection, NO_EXCLUDED_HEADERS);
     kept.push(...this.policy.extraHeaders());
     this.response.writeHead(statusCode, kept);
   }
 }
 
 /** Undici's raw headers as text; the parsed ones where it gives no raw ones. */
-function toRawStrings(
+function toRawHeaders(
   rawHeaders: Dispatcher.DispatchController['rawHeaders'],
   headers: IncomingHttpHeaders,
 ): string[] {
--- a/src/http/relayed-request.ts
+++ b/src/http/relayed-request.ts
@@ -15,21 +15,21 @@
 const REPLACED_HEADERS: ReadonlySet<string> = new Set(['traceparent', 'expect']);
 
 /** The caller's headers that are sent on. */
-export function relayedHeaders(message: IncomingMessage): RawHeaders {
+export function filterRequestHeaders(message: IncomingMessage): RawHeaders {
   return endToEndHeaders(message.rawHeaders, message.headers.connection, REPLACED_HEADERS);
 }
 
 /** What is sent on, and with which headers. */
-interface RelayedRequest {
+interface ForwardedRequest {
   readonly message: IncomingMessage;
   readonly body: RequestBody;
   readonly headers: RawHeaders;
 }
 
 /** Sends the request on; `handler` gets the answer and is the attempt under way. */
-export function sendRelayed(
+export function forwardRequest(
   dispatcher: Dispatcher,
-  { message, body, headers }: RelayedRequest,
+  { message, body, headers }: ForwardedRequest,
   handler: RelayHandler,
 ): Attempt {
   dispatcher.dispatch(
--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -51,14 +51,14 @@
   callback: BodyCallback,
 ): void {
   const { headers } = message;
-  const declared = headers['content-length'];
-  const chunked = headers['transfer-encoding'] !== undefined;
-  if (!chunked && (declared === undefined || declared === '0')) {
+  const contentLength = headers['content-length'];
+  const isChunked = headers['transfer-encoding'] !== undefined;
+  if (!isChunked && (contentLength === undefined || contentLength === '0')) {
     message.resume();
     callback(NO_BODY, undefined);
     return;
   }
-  if (declared !== undefined && Number(declared) > limits.maxBytes) {
+  if (contentLength !== undefined && Number(contentLength) > limits.maxBytes) {
     callback(undefined, 'too-large');
     return;
   }
@@ -89,15 +89,15 @@
     this.size += chunk.length;
     if (this.size <= this.limits.bufferBytes) return;
     this.message.pause();
-    const content = Readable.from(this.remaining(), { objectMode: false });
+    const content = Readable.from(this.streamRemaining(), { objectMode: false });
     // The same bytes however the body was cut on its way.
     const start = Buffer.concat(this.chunks).subarray(0, this.limits.bufferBytes);
     this.finish({ content, start, replayable: false }, undefined);
   };
 
   private readonly onEnd = (): void => {
-    const only = this.chunks.length === 1 ? this.chunks[0] : undefined;
-    const content = only ?? Buffer.concat(this.chunks);
+    const singleChunk = this.chunks.length === 1 ? this.chunks[0] : undefined;
+    const content = singleChunk ?? Buffer.concat(this.chunks);
     this.finish({ content, start: content, replayable: true }, undefined);
   };
 
@@ -115,7 +115,7 @@
    * Ends the caller's connection. Resolves when the caller counts as gone, so that what follows is laid on the caller: an
    * attempt that fails before that counts against its target.
    */
-  private async endConnection(): Promise<void> {
+  private async closeConnection(): Promise<void> {
     const { socket } = this.message;
     const closed = socket.closed ? undefined : once(socket, 'close');
     this.message.destroy();
@@ -123,13 +123,13 @@
   }
 
   /** What was held and then the rest as it arrives; fails when the body grows too large. */
-  private async *remaining(): AsyncGenerator<Buffer> {
+  private async *streamRemaining(): AsyncGenerator<Buffer> {
     yield* this.chunks;
     let total = this.size;
     for await (const chunk of this.message as AsyncIterable<Buffer>) {
       total += chunk.length;
       if (total > this.limits.maxBytes) {
-        await this.endConnection();
+        await this.closeConnection();
         throw new ShoredoorError('the body is larger than allowed');
       }
       yield chunk;
--- a/src/http/target-headers.ts
+++ b/src/http/target-headers.ts
@@ -58,11 +58,11 @@
   status: number,
   headers: IncomingHttpHeaders,
 ): AnswerFault | undefined {
-  const answeredId = headerValue(headers, names.requestId);
-  if (answeredId !== undefined && answeredId !== requestId) return 'foreign';
+  const answeredRequestId = headerValue(headers, names.requestId);
+  if (answeredRequestId !== undefined && answeredRequestId !== requestId) return 'foreign';
   if (status === HttpStatus.MisdirectedRequest) return 'misdirected';
   if (headerValue(headers, names.notExecuted) !== undefined) return 'not-executed';
-  if (answeredId === undefined) return 'foreign';
+  if (answeredRequestId === undefined) return 'foreign';
   const encoding = headerValue(headers, 'content-encoding');
   return encoding === undefined || encoding === IDENTITY_ENCODING ? undefined : 'foreign';
 }
--- a/src/http/target-transport.ts
+++ b/src/http/target-transport.ts
@@ -12,7 +12,7 @@
 import { formatTraceParent } from '../call/trace-parent.js';
 import type { Attempt, AttemptListener, TargetTransport } from '../call/transport.js';
 import { RelayHandler } from './relay-handler.js';
-import { relayedHeaders, sendRelayed } from './relayed-request.js';
+import { filterRequestHeaders, forwardRequest } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
 /** One call to the target. */
@@ -36,7 +36,7 @@
 
   send(listener: AttemptListener): Attempt {
     const { context, spanId, message, body, response, takeOutcome } = this.request;
-    const headers = relayedHeaders(message);
+    const headers = filterRequestHeaders(message);
     const remainingMs = Math.max(0, Math.floor(context.deadlineAt - this.clock.now()));
     headers.push(
       'traceparent',
@@ -52,6 +52,6 @@
       },
       listener,
     );
-    return sendRelayed(this.pool, { message, body, headers }, handler);
+    return forwardRequest(this.pool, { message, body, headers }, handler);
   }
 }
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -27,14 +27,14 @@
 }
 
 /** One `--set path=value` flag; the value is read as YAML. */
-function applyOverride(root: Record<string, unknown>, text: string): void {
-  const separator = text.indexOf('=');
+function applyOverride(root: Record<string, unknown>, override: string): void {
+  const separator = override.indexOf('=');
   if (separator <= 0) {
     throw new ValidationError('flags are not valid', {
-      props: { faults: [{ path: '--set', message: `'${text}' must be PATH=VALUE` }] },
+      props: { faults: [{ path: '--set', message: `'${override}' must be PATH=VALUE` }] },
     });
   }
-  setAtPath(root, text.slice(0, separator), parse(text.slice(separator + 1)));
+  setAtPath(root, override.slice(0, separator), parse(override.slice(separator + 1)));
 }
 
 /** Reads a YAML document. @throws ValidationError when it cannot be read or parsed */
--- a/src/settings/shared-settings.ts
+++ b/src/settings/shared-settings.ts
@@ -34,7 +34,7 @@
 /** `ADDRESS:PORT` as one text. */
 const ADDRESS_AND_PORT = /^(?:(\d{1,3}(?:\.\d{1,3}){3})|\[([0-9a-fA-F:]+)\]):(\d{1,5})$/;
 
-function splitAddress(value: unknown): unknown {
+function parseAddress(value: unknown): unknown {
   const match = typeof value === 'string' ? ADDRESS_AND_PORT.exec(value) : null;
   if (match === null) return value;
   return { host: match[1] ?? match[2], port: Number(match[3]) };
@@ -42,7 +42,7 @@
 
 /** An address to listen on: `{ host, port }`, or `ADDRESS:PORT`. */
 export const listenSchema = z.preprocess(
-  splitAddress,
+  parseAddress,
   z.strictObject({
     host: z.union([z.ipv4(), z.ipv6()], 'must be an IP address').default('127.0.0.1'),
     port: z.number().int().min(0).max(MAX_PORT),
--- a/src/settings/sidecar-settings.ts
+++ b/src/settings/sidecar-settings.ts
@@ -4,16 +4,16 @@
 import { followerShape, listenSchema, originSchema, quotaRuleSchema } from './shared-settings.js';
 
 /** Repeats at a service as a part of its first arrivals: a usual bound of retry budgets. */
-const DEFAULT_REPEAT_RATIO = 0.2;
+const DEFAULT_RETRY_RATIO = 0.2;
 /** Repeats besides, over all targets of a service, for services with few calls. */
-const DEFAULT_REPEAT_SLACK = 50;
+const DEFAULT_RETRY_SLACK = 50;
 /** Time over which a service's arrivals are counted, in milliseconds. */
-const DEFAULT_REPEAT_WINDOW_MS = 10_000;
+const DEFAULT_RETRY_WINDOW_MS = 10_000;
 /** The bound on repeats at a service where settings give none. */
 export const DEFAULT_RETRY_BOUND = {
-  ratio: DEFAULT_REPEAT_RATIO,
-  slack: DEFAULT_REPEAT_SLACK,
-  windowMs: DEFAULT_REPEAT_WINDOW_MS,
+  ratio: DEFAULT_RETRY_RATIO,
+  slack: DEFAULT_RETRY_SLACK,
+  windowMs: DEFAULT_RETRY_WINDOW_MS,
 };
 /** Time after its last report for which a target is used, in milliseconds. */
 const DEFAULT_TARGET_SILENT_MS = 6_000;
@@ -57,9 +57,9 @@
   /** Repeats that a service may see, over all its targets: a part of its first arrivals, and some besides. */
   retries: z
     .strictObject({
-      ratio: z.number().min(0).max(1).default(DEFAULT_REPEAT_RATIO),
-      slack: z.number().min(0).max(1_000_000).default(DEFAULT_REPEAT_SLACK),
-      windowMs: z.number().min(1_000).max(600_000).default(DEFAULT_REPEAT_WINDOW_MS),
+      ratio: z.number().min(0).max(1).default(DEFAULT_RETRY_RATIO),
+      slack: z.number().min(0).max(1_000_000).default(DEFAULT_RETRY_SLACK),
+      windowMs: z.number().min(1_000).max(600_000).default(DEFAULT_RETRY_WINDOW_MS),
     })
     .default(DEFAULT_RETRY_BOUND),
 });
--- a/test/http/request-body.test.ts
+++ b/test/http/request-body.test.ts
@@ -16,13 +16,13 @@
 describe('a body that is streamed', () => {
   let server: Server;
   let client: ClientRequest;
-  let taken: Promise<RequestBody | undefined>;
+  let bodyRead: Promise<RequestBody | undefined>;
   let isCallerGone: boolean;
 
   beforeEach(async () => {
     isCallerGone = false;
     server = createServer();
-    taken = new Promise((resolve) => {
+    bodyRead = new Promise((resolve) => {
       server.on('request', (message, response) => {
         response.once('close', () => (isCallerGone = true));
         readRequestBody(message, LIMITS, resolve);
@@ -41,8 +41,8 @@
   });
 
   /** The bytes that are sent on, and whether they ended as a whole body. */
-  async function sentOn(): Promise<{ bytes: number; isWhole: boolean }> {
-    const body = await taken;
+  async function readForwardedBody(): Promise<{ bytes: number; isWhole: boolean }> {
+    const body = await bodyRead;
     let bytes = 0;
     try {
       for await (const chunk of body!.content as Readable) bytes += (chunk as Buffer).length;
@@ -54,16 +54,16 @@
 
   it('is whole at the largest size', async () => {
     client.write('x'.repeat(50));
-    const result = sentOn();
-    await taken;
+    const result = readForwardedBody();
+    await bodyRead;
     client.end('x'.repeat(50));
     expect(await result).to.deep.equal({ bytes: 100, isWhole: true });
   });
 
   it('breaks off above the largest size', async () => {
     client.write('x'.repeat(50));
-    const result = sentOn();
-    await taken;
+    const result = readForwardedBody();
+    await bodyRead;
     client.end('x'.repeat(51));
     expect((await result).isWhole).to.equal(false);
     // An attempt that fails while its caller is there counts against its target.
--- a/test/settings/settings-fields.test.ts
+++ b/test/settings/settings-fields.test.ts
@@ -21,15 +21,15 @@
 import { schemaFields, type SchemaFields } from '../support/schema-fields.js';
 
 /** Settings as an operator gives them: the lines of a file, and `--set` flags. */
-interface GivenSettings {
+interface SettingsInput {
   readonly program: string;
   readonly file: readonly string[];
   readonly flags: readonly string[];
 }
 
 interface SettingsCases {
-  readonly read: readonly (GivenSettings & { readonly settings: unknown })[];
-  readonly refused: readonly (GivenSettings & { readonly faults: readonly Fault[] })[];
+  readonly read: readonly (SettingsInput & { readonly settings: unknown })[];
+  readonly refused: readonly (SettingsInput & { readonly faults: readonly Fault[] })[];
   /** A resource alone, and its faults. */
   readonly resources: readonly { readonly resource: unknown; readonly faults: unknown }[];
   /** The resources of a set, and their faults. */
@@ -53,15 +53,15 @@
   return JSON.parse(readFileSync(file, 'utf8'));
 }
 
-function load({ program, file, flags }: GivenSettings): unknown {
+function load({ program, file, flags }: SettingsInput): unknown {
   const path = join(mkdtempSync(join(tmpdir(), 'shoredoor-settings-')), 'settings.yaml');
   writeFileSync(path, file.join('\n'));
   return loadSettings(SCHEMAS[program]!, path, flags);
 }
 
-function faultsOfSettings(given: GivenSettings): readonly Fault[] {
+function faultsOfSettings(input: SettingsInput): readonly Fault[] {
   try {
-    load(given);
+    load(input);
   } catch (error) {
     if (error instanceof ValidationError) return error.faults;
     throw error;
--- a/test/settings/settings-page.test.ts
+++ b/test/settings/settings-page.test.ts
@@ -17,7 +17,7 @@
   control: controlSettingsSchema,
 };
 const PAGE = readFileSync('docs/reference/settings.md', 'utf8');
-const FOR_ALL_HEADING = 'All programs';
+const ALL_PROGRAMS_HEADING = 'All programs';
 const ROW = /^\| `([^`]+)` +\| ([^|]+?) +\|/;
 
 /** Each setting by its path, with its default as the page writes it. */
@@ -28,7 +28,7 @@
   const defaults: Defaults = {};
   for (const section of PAGE.split(/^## /m).slice(1)) {
     const [heading = '', ...lines] = section.split('\n');
-    if (heading !== FOR_ALL_HEADING && !heading.includes(`\`${program}\``)) continue;
+    if (heading !== ALL_PROGRAMS_HEADING && !heading.includes(`\`${program}\``)) continue;
     for (const line of lines) {
       const [, path, value] = ROW.exec(line) ?? [];
       if (path === undefined) continue;
@@ -47,21 +47,21 @@
   return Object.fromEntries(leaves.map((path) => [path, defaultOf(fields, path)]));
 }
 
-function isInside(path: string, whole: string): boolean {
-  return path.startsWith(`${whole}.`) || path.startsWith(`${whole}[]`);
+function isInside(path: string, parent: string): boolean {
+  return path.startsWith(`${parent}.`) || path.startsWith(`${parent}[]`);
 }
 
 /** A default of its own, or that of the object which holds the setting, or none if it or that object may be left out. */
 function defaultOf(fields: SchemaFields, path: string): string {
   const own = ownDefault(fields, path);
-  if (own !== undefined) return `\`${textOf(own)}\``;
+  if (own !== undefined) return `\`${formatValue(own)}\``;
   if (fields[path]!.endsWith('optional')) return 'none';
-  const holder = /^(.+)(?:\.[^.[\]]+|\[\])$/.exec(path)?.[1];
-  if (holder === undefined) return 'required';
-  const held = ownDefault(fields, holder) as Record<string, unknown> | undefined;
-  if (held === undefined) return defaultOf(fields, holder);
-  const name = path.slice(holder.length + 1);
-  return name in held ? `\`${textOf(held[name])}\`` : 'none';
+  const parent = /^(.+)(?:\.[^.[\]]+|\[\])$/.exec(path)?.[1];
+  if (parent === undefined) return 'required';
+  const parentDefault = ownDefault(fields, parent) as Record<string, unknown> | undefined;
+  if (parentDefault === undefined) return defaultOf(fields, parent);
+  const name = path.slice(parent.length + 1);
+  return name in parentDefault ? `\`${formatValue(parentDefault[name])}\`` : 'none';
 }
 
 function ownDefault(fields: SchemaFields, path: string): unknown {
@@ -69,7 +69,7 @@
   return text === undefined ? undefined : JSON.parse(text);
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
 
