--- a/src/client/replica-requests.ts
+++ b/src/client/replica-requests.ts
@@ -1,29 +1,28 @@
 /**
- * Requests to the control replicas' API: to one replica after another until one answers, with redirects to the leader, and
- * one watch at one replica. Relies on each change carrying its change id, so that a resend is harmless. Owns no state.
+ * Sends requests to the API of the control replicas: tries one replica after another, follows redirects to the leader, and
+ * watches one replica. Changes must carry a change id, so that sending them again has no further effect.
  */
 import { request, type Dispatcher } from 'undici';
 import { RequestError, type RequestErrorProps } from '../common/errors.js';
 import type { WatchEvent } from '../sync/watch-event.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Where control is and who asks. */
+/** Addresses and credentials of control. */
 export interface ControlAccess {
   /** Origins of control replicas. */
   readonly origins: readonly string[];
   readonly token: string;
-  /** Longest time for one exchange, in milliseconds. Default 10,000. */
+  /** Timeout for one exchange, in milliseconds. Default 10,000. */
   readonly timeoutMs?: number;
 }
 
-/** An answer of the API. */
 export interface ApiAnswer {
   readonly status: number;
-  /** The parsed JSON, or the text where it is none; undefined where it is empty. */
+  /** The parsed JSON, or the text if it is not JSON; undefined if it is empty. */
   readonly body: unknown;
 }
 
-/** A request, without its replica. */
+/** A request that can be sent to any replica. */
 export interface ApiRequest {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
@@ -31,11 +30,11 @@
   readonly body?: string;
 }
 
-/** Longest time for one exchange, in milliseconds: twice as long as a replica waits for a quorum. */
+/** Timeout for one exchange, in milliseconds: twice as long as a replica waits for a quorum. */
 const DEFAULT_TIMEOUT_MS = 10_000;
-/** Most redirects of one request: leaders may change meanwhile. */
+/** Maximum redirects of one request; more than one, as the leader may change meanwhile. */
 const MAX_REDIRECTS = 3;
-/** Rounds over all replicas; with the pauses longer than an election. */
+/** Maximum rounds over all replicas. With the pauses between them, they take longer than an election. */
 export const MAX_ROUNDS = 15;
 /** Pause between two rounds, in milliseconds. */
 const ROUND_PAUSE_MS = 300;
@@ -44,8 +43,8 @@
   constructor(private readonly access: ControlAccess) {}
 
   /**
-   * Sends to one replica after another until one answers.
-   * @throws RequestError when none does in any round
+   * Sends a request to one replica after another until one answers.
+   * @throws RequestError when no replica answers in any round
    */
   async send(message: ApiRequest): Promise<ApiAnswer> {
     let lastError: unknown;
@@ -57,7 +56,7 @@
           if (answer.status !== HttpStatus.ServiceUnavailable) return answer;
           lastAnswer = answer;
         } catch (error) {
-          // Thrown after the last round: until then another replica may answer.
+          // Thrown after the last round, as another replica may still answer.
           lastError = error;
         }
       }
@@ -68,8 +67,8 @@
   }
 
   /**
-   * Follows the changes after `revision` at one replica, until its stream ends.
-   * @throws RequestError when the replica refuses
+   * Watches the changes after `revision` at one replica until its stream ends.
+   * @throws RequestError when the replica answers with an error status
    */
   async *watch(origin: string, revision: number): AsyncGenerator<WatchEvent> {
     const response = await request(`${origin}/v1/watch?from=${revision}`, {
@@ -123,7 +122,7 @@
   }
 }
 
-/** The body of an answer with status 200. @throws RequestError for any other status */
+/** Returns the body of an answer with status 200. @throws RequestError for any other status */
 export function expectOk(answer: ApiAnswer): unknown {
   if (answer.status === HttpStatus.Ok) return answer.body;
   throw new RequestError(`control answered ${answer.status}`, {
@@ -131,13 +130,12 @@
   });
 }
 
-/** The error where no replica has answered. */
 export function createNoAnswerError(cause: unknown): RequestError {
   const props: RequestErrorProps = { status: 0, verdict: 'may-have-run' };
   return new RequestError('no control replica answered', { cause, props });
 }
 
-/** Lets a replica that starts, or an election, come to its end. */
+/** Waits before the next round, so that a starting replica or an election can complete. */
 export async function pauseBetweenRounds(): Promise<void> {
   await new Promise<void>((resolve) => setTimeout(resolve, ROUND_PAUSE_MS));
 }
@@ -147,7 +145,7 @@
   try {
     return JSON.parse(text) as unknown;
   } catch {
-    // Not an answer of control but of something before it: the caller shows the text as it is.
+    // The answer of an intermediary such as a proxy; the caller prints the text unchanged.
     return text;
   }
 }
--- a/src/client/resource-client.ts
+++ b/src/client/resource-client.ts
@@ -1,7 +1,4 @@
-/**
- * A client of the resource API, for the command line: puts, deletes, lists, gets, watches and asks for the status. Relies on
- * `replica-requests.ts`, which tries every replica and follows the leader. Owns no state.
- */
+/** Client of the resource API, for the command line. Tries every replica and follows redirects to the leader. */
 import { RequestError } from '../common/errors.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 import type { StatusReport } from '../sync/status-report.js';
@@ -17,16 +14,14 @@
   type ControlAccess,
 } from './replica-requests.js';
 
-/** A change to send. */
 export interface ChangeOptions {
-  /** Sent as `Idempotency-Key`; resends use the same one. */
+  /** Sent as `Idempotency-Key`; must be the same when the change is sent again. */
   readonly changeId: string;
-  /** Version that the resource must stand at; `absent` when it must not exist. */
+  /** Version that the resource must have; `absent` if it must not exist. */
   readonly expect?: number | 'absent';
   readonly dryRun?: boolean;
 }
 
-/** The answer of a list request. */
 export interface ResourceList {
   readonly revision: number;
   readonly items: readonly StoredResource[];
@@ -64,21 +59,21 @@
     return this.replicaClient.send({ method: 'GET', path: resourcePath(id) });
   }
 
-  /** @throws RequestError when the list cannot be had */
+  /** @throws RequestError when no replica answers, or with a status other than 200 */
   async list(): Promise<ResourceList> {
     const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/resources' });
     return expectOk(answer) as ResourceList;
   }
 
-  /** @throws RequestError when the report cannot be had */
+  /** @throws RequestError when no replica answers, or with a status other than 200 */
   async status(): Promise<StatusReport> {
     const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/status' });
     return expectOk(answer) as StatusReport;
   }
 
   /**
-   * Follows the changes after `from`, across replicas.
-   * @throws RequestError when no replica can be reached
+   * Watches the changes after revision `from`, switching replicas when one fails. Ends after a `relist` event.
+   * @throws RequestError when a replica answers with an error status, or when none can be reached
    */
   async *watch(from: number): AsyncGenerator<WatchEvent> {
     let revision = from;
--- a/src/http/answer-sink.ts
+++ b/src/http/answer-sink.ts
@@ -1,17 +1,15 @@
 /**
- * Where an answer goes as it arrives: the part of `http.ServerResponse` that a relay uses, so that a link can take its
- * place.
- *
- * For: `relay-handler.ts`. Owns: nothing. Relies on: the meaning that Node.js gives to these methods.
+ * Destination of a relayed answer: the subset of `http.ServerResponse` that `RelayHandler` uses, which a link between
+ * sidecars implements too.
  */
 import type { RawHeaders } from './header-filter.js';
 
 export interface AnswerSink {
   writeHead(status: number, headers: RawHeaders): unknown;
-  /** @returns false when the sink wants no more before it has drained */
+  /** @returns false when the internal buffer is full; continue after `drain` */
   write(chunk: Buffer): boolean;
   end(): unknown;
-  /** The answer breaks off: its receiver must not take it for whole. */
+  /** Aborts the answer, so that its receiver does not treat it as complete. */
   destroy(): unknown;
   once(event: 'drain', listener: () => void): unknown;
   off(event: 'drain', listener: () => void): unknown;
--- a/src/http/answer-times.ts
+++ b/src/http/answer-times.ts
@@ -1,21 +1,19 @@
 /**
- * How long a target usually takes to begin an answer, and which waits are too long for that. Pure.
- *
- * For: `instance-pool.ts`, which exchanges connections that may have fallen silent. Owns: the usual time of one
- * incarnation. Relies on: being told of every answer that begins.
+ * Average time that a target takes to begin an answer, and a threshold above which a wait suggests that the request was
+ * lost on a dead connection. One instance per incarnation of the target.
  */
 
-/** Weight of one answer in the usual time, an exponentially weighted mean. */
+/** Weight of a new sample in the exponential moving average. */
 const SMOOTHING_FACTOR = 0.1;
-/** A wait of this multiple of the usual time is suspicious: the slowest calls of most targets take less. */
+/** A wait is suspicious from this multiple of the average. */
 const SUSPICIOUS_MULTIPLE = 3;
-/** No wait below this is suspicious, in milliseconds: short times vary by more. */
+/** Shorter waits are never suspicious, as short response times vary more. In milliseconds. */
 const MIN_SUSPICIOUS_MS = 300;
 
 export class AnswerTimes {
   private averageMs: number | undefined;
 
-  /** An answer began this long after its request was sent, in milliseconds. */
+  /** @param durationMs milliseconds between sending the request and the start of its answer */
   onAnswered(durationMs: number): void {
     this.averageMs =
       this.averageMs === undefined
@@ -23,7 +21,7 @@
         : this.averageMs + SMOOTHING_FACTOR * (durationMs - this.averageMs);
   }
 
-  /** Whether a request that waited this long without an answer may have been sent into a silent connection. */
+  /** Whether a request that has waited this long without an answer may have been sent on a dead connection. */
   isSuspicious(waitedMs: number): boolean {
     if (this.averageMs === undefined) return false;
     return waitedMs >= Math.max(MIN_SUSPICIOUS_MS, SUSPICIOUS_MULTIPLE * this.averageMs);
--- a/src/http/api-problem.ts
+++ b/src/http/api-problem.ts
@@ -1,14 +1,12 @@
 /**
- * Problem Details (RFC 9457) of control's APIs and of a sidecar's registration API.
- *
- * For: every handler of these APIs. Owns: the types of problems and their HTTP status. Relies on: `api-response.ts` to
- * write them. Refusals of calls are another matter: `src/call/refusal.ts`.
+ * Problem Details (RFC 9457) of control's APIs and of a sidecar's registration API. For refusals of calls, see
+ * `src/call/refusal.ts`.
  */
 import type { Fault } from '../common/errors.js';
 import type { Verdict } from '../common/verdict.js';
 import type { StoredResource } from '../policy/stored-resource.js';
 
-/** Every problem type of the API; the `type` member is `urn:shoredoor:api:` and one of these. */
+/** Problem types of the API. On the wire, `type` is `urn:shoredoor:api:` followed by one of these. */
 export type ApiProblemType =
   | 'unauthenticated'
   | 'forbidden'
@@ -23,18 +21,17 @@
   | 'storage-failed'
   | 'too-large';
 
-/** A problem to answer with. */
 export interface ApiProblem {
   readonly type: ApiProblemType;
   readonly status: number;
   readonly detail: string;
   /** Whether the change may have taken effect. */
   readonly verdict: Verdict;
-  /** Every fault, for `invalid`. */
+  /** Validation faults, for `invalid`. */
   readonly faults?: readonly Fault[];
-  /** The resource as it stands, for `conflict`. */
+  /** The resource as currently stored, for `conflict`. */
   readonly current?: StoredResource | null;
-  /** Oldest revision that a watch can resume from, for `gone`. */
+  /** Oldest revision from which a watch can resume, for `gone`. */
   readonly oldestRevision?: number;
 }
 
@@ -53,10 +50,10 @@
   'too-large': 413,
 };
 
-/** Further members of a problem. */
+/** Optional members of a problem. */
 export type ApiProblemMembers = Partial<Omit<ApiProblem, 'type' | 'status' | 'detail'>>;
 
-/** Makes a problem; the verdict is `not-run` unless given. */
+/** Creates a problem with the HTTP status of its type. The verdict defaults to `not-run`. */
 export function apiProblem(
   type: ApiProblemType,
   detail: string,
--- a/src/http/api-request.ts
+++ b/src/http/api-request.ts
@@ -1,21 +1,17 @@
-/**
- * Reads the JSON body of a request to one of control's APIs or to a sidecar's registration API.
- *
- * For: their handlers. Owns: the longest time for a body. Relies on: `request-body.ts`; the largest size is the caller's.
- */
+/** Reads JSON request bodies for control's APIs and for a sidecar's registration API. */
 import type { IncomingMessage } from 'node:http';
 import { readRequestBody } from './request-body.js';
 import { apiProblem, type ApiProblem } from './api-problem.js';
 
-/** A parsed body, or why there is none. */
+/** A parsed body, or the problem to answer with. */
 export type JsonBody =
   | { readonly type: 'value'; readonly value: unknown }
   | { readonly type: 'problem'; readonly problem: ApiProblem };
 
-/** Longest time for the whole body to arrive, in milliseconds. */
+/** Timeout for reading the whole body, in milliseconds. */
 const BODY_TIMEOUT_MS = 10_000;
 
-/** Reads and parses a body of at most `maxBytes`. */
+/** Reads and parses a JSON body of at most `maxBytes` bytes. */
 export async function readJsonBody(message: IncomingMessage, maxBytes: number): Promise<JsonBody> {
   const limits = { bufferBytes: maxBytes, maxBytes, timeoutMs: BODY_TIMEOUT_MS };
   const bytes = await new Promise<Buffer | ApiProblem>((resolve) => {
@@ -31,7 +27,7 @@
   try {
     return { type: 'value', value: JSON.parse(bytes.toString('utf8')) as unknown };
   } catch {
-    // The client is told. Where the parser stopped is left out: it would quote the body.
+    // The parser's message is left out, as it quotes the body.
     return { type: 'problem', problem: apiProblem('invalid', 'The body is not JSON.') };
   }
 }
--- a/src/http/api-response.ts
+++ b/src/http/api-response.ts
@@ -1,17 +1,12 @@
-/**
- * Writes answers of control's APIs and of a sidecar's registration API.
- *
- * For: their handlers. Owns: the headers that go with each form of answer. Relies on: `api-problem.ts` for what is said.
- */
+/** Writes responses of control's APIs and of a sidecar's registration API. */
 import type { ServerResponse } from 'node:http';
 import type { ApiProblem } from './api-problem.js';
 
 const JSON_TYPE = 'application/json';
 const PROBLEM_TYPE = 'application/problem+json';
-/** When an operator's client may ask again while there is no leader, in seconds. */
+/** `Retry-After` while there is no leader, in seconds. */
 const NO_QUORUM_RETRY_AFTER_SECONDS = '1';
 
-/** Writes a JSON answer. */
 export function writeJson(
   response: ServerResponse,
   status: number,
@@ -27,13 +22,13 @@
   response.end(text);
 }
 
-/** Sends the client to another replica with the same request (RFC 9110, section 15.4.8). */
+/** Redirects the client to another replica with the same method and body (RFC 9110, section 15.4.8). */
 export function writeRedirect(response: ServerResponse, location: string): void {
   response.writeHead(307, { Location: location, 'Content-Length': 0 });
   response.end();
 }
 
-/** Writes a problem. */
+/** Writes a problem as `application/problem+json`. */
 export function writeProblem(response: ServerResponse, problem: ApiProblem): void {
   const { type, ...members } = problem;
   const body = { type: `urn:shoredoor:api:${type}`, title: type, ...members };
--- a/src/http/caller-exchange.ts
+++ b/src/http/caller-exchange.ts
@@ -1,9 +1,6 @@
 /**
- * One request of a caller, from its head to the end of its response: what the edge, the ingress and both sides of a node do
- * alike. Each of them derives its exchange from {@link CallerExchange} and adds what is sent on, and where.
- *
- * Owns the counts of the request in {@link CallStats} and what is written to the response where no target answers. Relies
- * on the transport of the call to write the answers of targets.
+ * Base class for one request of a caller, from its head to the end of its response. Edge, ingress and both sides of a node
+ * extend it. Counts the request in {@link CallStats}, reads its body and writes refusals.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CallStats } from '../call/call-stats.js';
@@ -18,10 +15,10 @@
   type RequestBody,
 } from './request-body.js';
 
-/** Why a body was not taken while its caller waits for an answer. */
+/** Why a request body was refused while the caller is still connected. */
 export type BodyRefusalReason = Exclude<BodyFault, 'caller-gone'>;
 
-/** The refusal for a body that was not taken. Nothing of the request was sent on. */
+/** Creates the refusal for a request body that was not accepted. Nothing of the request was forwarded. */
 export function bodyNotTaken(
   reason: BodyRefusalReason,
   detail = 'The request body was not taken.',
@@ -30,7 +27,7 @@
 }
 
 export abstract class CallerExchange {
-  /** @param statsName name in the stats: of the route at an ingress, of the kind elsewhere */
+  /** @param statsName key in {@link CallStats}: the name of the route at an ingress, of the kind elsewhere */
   protected constructor(
     protected readonly message: IncomingMessage,
     protected readonly response: ServerResponse,
@@ -38,18 +35,18 @@
     private readonly statsName: string,
   ) {}
 
-  /** The body has arrived, as far as it is held in memory. */
+  /** Called when the body is complete, or when its first `bufferBytes` have arrived. */
   protected abstract onBody(body: RequestBody): void;
 
   protected abstract onBodyRefused(reason: BodyRefusalReason): void;
 
   /**
-   * The response is closed; nothing more can be told to the caller.
-   * @param isAnswered whether all that there was to tell was written; otherwise the caller has left, or was cut off
+   * Called when the response is closed.
+   * @param isAnswered whether the whole response was written; otherwise the caller disconnected or the response was aborted
    */
   protected abstract onClosed(isAnswered: boolean): void;
 
-  /** The request counts as under way until its response is closed. */
+  /** Counts the request as in flight until its response is closed. */
   protected begin(): void {
     this.stats.onStart();
     this.response.once('close', () => {
@@ -58,7 +55,7 @@
     });
   }
 
-  /** Reads the body; nothing is told of a caller who leaves meanwhile. */
+  /** Reads the body. Calls neither hook if the caller disconnects meanwhile. */
   protected readBody(limits: BodyLimits): void {
     readRequestBody(this.message, limits, (body, fault) => {
       if (body !== undefined) this.onBody(body);
@@ -67,19 +64,22 @@
     });
   }
 
-  /** The caller left before its answer was whole. */
+  /** Counts a request whose caller disconnected before the response was complete. */
   protected countCancelled(): void {
     this.stats.kind(this.statsName).cancelled += 1;
   }
 
-  /** A whole answer was passed on. @param durationMs milliseconds since the request arrived; undefined where not measured */
+  /**
+   * Counts a completely relayed answer.
+   * @param durationMs milliseconds since the request arrived; undefined to record no latency
+   */
   protected countRelayed(durationMs: number | undefined): void {
     const counts = this.stats.kind(this.statsName);
     counts.relayed += 1;
     if (durationMs !== undefined) counts.onLatency(durationMs);
   }
 
-  /** An answer had begun and broke off: the caller must not take it for whole. */
+  /** Aborts a response that has begun, so that the caller does not treat it as complete. */
   protected breakOff(): void {
     this.stats.kind(this.statsName).broken += 1;
     this.response.destroy();
--- a/src/http/caller-response.ts
+++ b/src/http/caller-response.ts
@@ -1,9 +1,4 @@
-/**
- * Writes a refusal to a caller, unless an answer has begun.
- *
- * For: edges, nodes and the ingress of a sidecar. Owns: the headers of a refusal. Relies on:
- * `src/call/refusal.ts` for status and text, and on whoever refuses for `Retry-After`.
- */
+/** Writes refusals of calls, for edges, nodes and the ingress of a sidecar. */
 import type { ServerResponse } from 'node:http';
 import { refusalStatus, toProblemDetails, type Refusal } from '../call/refusal.js';
 import { REQUEST_ID_HEADER, VERDICT_HEADER } from '../call/call-context.js';
@@ -12,8 +7,8 @@
 const PROBLEM_TYPE = 'application/problem+json';
 
 /**
- * Writes a refusal as Problem Details (RFC 9457) with `Retry-After` where that helps. Where an answer has begun, the
- * connection is ended instead, so that its receiver does not take the part for the whole.
+ * Writes a refusal as Problem Details (RFC 9457), with `Retry-After` if the refusal has one. If a response has begun, aborts
+ * it instead, so that the caller does not treat it as complete.
  */
 export function writeRefusal(
   response: ServerResponse,
--- a/src/http/claim-link.ts
+++ b/src/http/claim-link.ts
@@ -1,9 +1,7 @@
 /**
- * The link between nodes for claims of idempotency keys. Messages go to a node's inbound side under a header of their own,
- * so that no path of the target is taken.
- *
- * For: the rules of `dedup`, whose messages it carries. Owns: their time limits and sizes. Relies on: the claim rules to
- * take a message without a reply for lost. No line is logged for one: there would be one a call while a node is down.
+ * Exchanges claims of idempotency keys between nodes over HTTP. Messages are sent to a node's inbound address and marked by
+ * a header, so that they use no path of the target. Failures are not logged: while a node is down there would be one per
+ * call.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { LINK_HEADER } from '../call/call-context.js';
@@ -14,15 +12,14 @@
 import type { BodyLimits } from './request-body.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Request header that marks a message between nodes, to nodes only. */
+/** Request header that marks an internal message between nodes. */
 export const MESSAGE_HEADER = 'shoredoor-message';
 export const CLAIM_MESSAGE = 'claim';
 
-/** Longest time for a message and its reply, in milliseconds. */
+/** Timeout for a message and its reply, in milliseconds. */
 const TIMEOUT_MS = 1_000;
-/** A handover carries every claim of a node. */
+/** Large enough for a handover, which carries every claim of a node. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
-/** Bounds of a message, and the longest time for it to arrive. */
 const BODY_LIMITS: BodyLimits = {
   bufferBytes: MAX_MESSAGE_BYTES,
   maxBytes: MAX_MESSAGE_BYTES,
@@ -32,7 +29,7 @@
 export interface ClaimTransportOptions {
   readonly pools: ConnectionPools;
   readonly linkToken: string;
-  /** Inbound origin of a node, when it is known. */
+  /** Returns the inbound origin of a node, or undefined if the node is unknown. */
   readonly originOf: (nodeId: string) => string | undefined;
 }
 
@@ -63,7 +60,7 @@
   }
 }
 
-/** Answers a message from another node. The caller has checked the link token. */
+/** Handles a claim message of another node. The link token must have been checked before. */
 export async function answerClaimMessage(
   message: IncomingMessage,
   response: ServerResponse,
--- a/src/http/connection-pools.ts
+++ b/src/http/connection-pools.ts
@@ -1,27 +1,27 @@
 /**
- * Undici connection pools by origin, made when first used and closed when no longer listed.
- *
- * For: edges and nodes, for calls and claims to other nodes. Owns: the pools. Relies on: whoever sends for every time
- * limit but that of making a connection, and on its follower to say which origins are listed.
+ * Undici connection pools keyed by origin. A pool is created on first use and closed when its origin is no longer listed.
  */
 import { Pool, type buildConnector, type Dispatcher } from 'undici';
 
-/** Longest time for a connection to be made, in milliseconds. */
+/** Timeout for opening a connection, in milliseconds. */
 export const CONNECT_TIMEOUT_MS = 1_000;
-/** Idle connections are closed after this long, in milliseconds: before our own servers close them, after 30 s. */
+/**
+ * Keep-alive timeout of idle connections, in milliseconds. Shorter than that of `ListeningServer`, so that no request is
+ * sent on a connection that the server is closing.
+ */
 const KEEP_ALIVE_MS = 10_000;
 
 /** Options of every pool of a {@link ConnectionPools}. */
 export interface PoolOptions {
-  /** Most connections to one origin. */
+  /** Maximum number of connections per origin. */
   readonly connections: number;
-  /** Idle connections are closed after this long, in milliseconds. Default 10,000. */
+  /** Keep-alive timeout of idle connections, in milliseconds. Default 10,000. */
   readonly keepAliveMs?: number;
-  /** Makes the connections. Default: undici's connector. */
+  /** Opens the connections. Default: undici's connector. */
   readonly connector?: buildConnector.connector;
 }
 
-/** A pool to one origin. Each call has its own deadline, so undici's time limits are off. */
+/** Creates a pool for one origin. Undici's timeouts are off, as each call has its own deadline. */
 export function createPool(origin: string, options: PoolOptions): Pool {
   return new Pool(origin, {
     connections: options.connections,
@@ -39,7 +39,7 @@
 
   constructor(private readonly options: PoolOptions) {}
 
-  /** The pool to `origin`. */
+  /** Returns the pool for `origin`, creating it on first use. */
   get(origin: string): Dispatcher {
     let pool = this.pools.get(origin);
     if (pool === undefined) {
@@ -49,7 +49,7 @@
     return pool;
   }
 
-  /** Closes the pools to origins that are no longer used, after their last call. */
+  /** Closes the pools of all other origins, each after its last call. */
   retain(origins: ReadonlySet<string>): void {
     for (const [origin, pool] of this.pools) {
       if (origins.has(origin)) continue;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Closes every pool at once, breaking calls that are under way. */
+  /** Destroys all pools and aborts the calls in flight. */
   async destroy(): Promise<void> {
     const pools = [...this.pools.values()];
     this.pools.clear();
--- a/src/http/control-client.ts
+++ b/src/http/control-client.ts
@@ -1,56 +1,49 @@
-/**
- * Sends internal messages to control replicas over HTTP.
- *
- * For: followers and replicas. Owns: the connections to the replicas. Relies on: whoever sends to set the time limit and
- * to log a failure, which is part of the result.
- */
+/** HTTP client for internal messages to control replicas, used by followers and by other replicas. */
 import { Agent } from 'undici';
 import { decodeMessage } from '../common/message-codec.js';
 import { postMessage } from './link-messages.js';
 import { HttpStatus } from '../common/http-status.js';
 
 /**
- * Longest time to make a connection, in milliseconds. A lost opening packet is sent again after 1, 3 and 7 seconds only, so
- * waiting for it would cost a replica that is back up to as long as it was gone.
+ * Timeout for opening a connection, in milliseconds. TCP retransmits a lost SYN with exponential backoff from one second on,
+ * so a longer timeout would delay the connection to a replica that is reachable again.
  */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Why a message got no answer. */
+/** Why a message received no usable answer. */
 export enum ExchangeFailure {
-  /** The caller ended the exchange. */
+  /** The caller aborted the exchange. */
   Aborted = 'aborted',
-  /** No whole answer came in time. */
+  /** The answer was not complete within the timeout. */
   TimedOut = 'timed out',
-  /** The replica answered that it can't. */
+  /** The replica answered with a status other than 200. */
   Refused = 'refused',
-  /** No connection could be made, or it broke. */
+  /** The connection could not be opened, or it failed. */
   Unreachable = 'unreachable',
-  /** The answer can't be decoded. */
+  /** The answer could not be decoded. */
   Unreadable = 'unreadable',
 }
 
-/** How one exchange with a control replica ended. */
+/** Result of one exchange with a control replica. */
 export type Exchange<Answer> =
   | { readonly type: 'answered'; readonly answer: Answer }
   | { readonly type: 'failed'; readonly failure: ExchangeFailure; readonly detail: string };
 
-/** How far an exchange has come. */
+/** Progress of an exchange. */
 export interface ExchangeProgress {
-  /** Bytes of the answer that have arrived. */
+  /** Bytes of the answer received so far. */
   receivedBytes: number;
 }
 
-/** What an exchange may bring besides its message. */
 export interface ExchangeOptions {
-  /** Longest time for the whole exchange, in milliseconds. */
+  /** Timeout for the whole exchange, in milliseconds. */
   readonly timeoutMs: number;
-  /** Ends the exchange early. */
+  /** Aborts the exchange. */
   readonly abort?: AbortSignal;
-  /** Kept up to date while the answer arrives. */
+  /** Updated while the answer arrives. */
   readonly progress?: ExchangeProgress;
 }
 
-/** Sends messages to control replicas. */
 export interface ControlLink {
   send<Answer>(
     origin: string,
@@ -65,7 +58,7 @@
 
   constructor(private readonly linkToken: string) {}
 
-  /** Sends a message and decodes the answer. Never throws: a failure is part of the result. */
+  /** Sends a message and decodes the answer. Never rejects; failures are part of the result. */
   async send<Answer>(
     origin: string,
     path: string,
--- a/src/http/header-filter.ts
+++ b/src/http/header-filter.ts
@@ -1,15 +1,12 @@
 /**
- * Which headers a proxy passes on. Hop-by-hop headers stay behind (RFC 9110, section 7.6.1), and so do shoredoor's own
- * headers, which are only believed between its processes.
- *
- * For: every transport and relay. Owns: the list of hop-by-hop headers and the prefix of our own. Relies on: its caller to
- * name the headers that it sets itself. Pure.
+ * Selects the headers that a proxy forwards: all but the hop-by-hop headers (RFC 9110, section 7.6.1) and shoredoor's own
+ * headers, which are trusted between its processes only.
  */
 
 /** Header names and values alternating, as in `IncomingMessage.rawHeaders`. */
 export type RawHeaders = string[];
 
-/** RFC 9110, section 7.6.1, and the older names that proxies still see; in lower case. */
+/** Hop-by-hop headers of RFC 9110, section 7.6.1, and of older specifications, in lower case. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -22,10 +19,10 @@
   'upgrade',
 ]);
 
-/** Every header of our own begins like this; see docs/reference/headers.md. */
+/** Prefix of shoredoor's own headers; see docs/reference/headers.md. */
 const SHOREDOOR_PREFIX = 'shoredoor-';
 
-/** The value of a header in a raw list; the first where it stands several times. */
+/** Returns the first value of a header in a raw list. */
 export function headerOf(raw: readonly string[], lowerName: string): string | undefined {
   for (let index = 0; index + 1 < raw.length; index += 2) {
     if (raw[index]!.toLowerCase() === lowerName) return raw[index + 1];
@@ -33,7 +30,7 @@
   return undefined;
 }
 
-/** Names listed in `Connection`, which are hop-by-hop for this message alone. */
+/** Returns the names listed in `Connection`, which are hop-by-hop for this message. */
 function parseConnectionHeader(value: string | undefined): ReadonlySet<string> | undefined {
   if (value === undefined) return undefined;
   const lower = value.toLowerCase();
@@ -42,10 +39,10 @@
 }
 
 /**
- * The headers of a message that are passed on.
+ * Returns the headers of a message that are forwarded.
  * @param raw names and values alternating
  * @param connection value of the message's `Connection` header
- * @param excluded further lower-case names that stay behind
+ * @param excluded further names to drop, in lower case
  */
 export function endToEndHeaders(
   raw: readonly string[],
--- a/src/http/link-messages.ts
+++ b/src/http/link-messages.ts
@@ -1,8 +1,6 @@
 /**
- * Messages between the system's own processes: msgpack over HTTP with the link token.
- *
- * For: control, followers and the claims of nodes; calls between sidecars go over `src/link`. Owns: how a message is sent,
- * read and answered. Relies on: the message codec, and on each kind of message for its limits and its token's header.
+ * Msgpack messages over HTTP between shoredoor's own processes, authenticated with the link token: for control, followers
+ * and the claims of nodes. Calls between sidecars use `src/link` instead.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { request, type Dispatcher } from 'undici';
@@ -10,17 +8,15 @@
 import { isSameToken } from './link-token.js';
 import { readRequestBody, type BodyLimits } from './request-body.js';
 
-/** How a message is sent. */
 interface PostOptions {
   readonly dispatcher: Dispatcher;
   /** Headers besides the content type. */
   readonly headers: Readonly<Record<string, string>>;
   readonly signal: AbortSignal;
-  /** Called with the number of bytes of the answer that have just arrived. */
+  /** Called with the size of each received chunk of the answer. */
   readonly onReceived?: (bytes: number) => void;
 }
 
-/** A whole answer. */
 interface PostAnswer {
   readonly status: number;
   readonly bytes: Buffer;
@@ -28,7 +24,7 @@
 
 /**
  * Sends a message and reads the whole answer.
- * @throws when the connection fails or `signal` ends the exchange
+ * @throws when the connection fails or `signal` is aborted
  */
 export async function postMessage(
   url: string,
@@ -45,7 +41,6 @@
   return { status: response.statusCode, bytes: await readBytes(response.body, onReceived) };
 }
 
-/** Reads a whole body. */
 async function readBytes(
   body: AsyncIterable<Buffer>,
   onReceived: PostOptions['onReceived'],
@@ -58,12 +53,12 @@
   return Buffer.concat(chunks);
 }
 
-/** Whether a request carries the deployment's link token as bearer token. */
+/** Whether a request carries the deployment's link token as a bearer token. */
 export function isLinkRequest(message: IncomingMessage, linkToken: string): boolean {
   return isSameToken(message.headers.authorization ?? '', `Bearer ${linkToken}`);
 }
 
-/** Reads a whole msgpack body; undefined when it was not taken or can't be decoded. */
+/** Reads a msgpack body. Returns undefined if it exceeds the limits or cannot be decoded. */
 export async function readMessage<Message>(
   message: IncomingMessage,
   limits: BodyLimits,
@@ -77,19 +72,18 @@
   try {
     return decodeMessage<Message>(bytes);
   } catch {
-    // Not msgpack: whoever reads the message answers with status 400.
+    // Not msgpack; the server answers with status 400.
     return undefined;
   }
 }
 
-/** Writes a msgpack answer. */
 export function writeMessage(response: ServerResponse, message: unknown): void {
   const bytes = encodeMessage(message);
   response.writeHead(200, { 'Content-Type': MSGPACK_TYPE, 'Content-Length': bytes.length });
   response.end(bytes);
 }
 
-/** Ends a request with a bare status. */
+/** Writes a response without a body. */
 export function writeStatus(response: ServerResponse, status: number): void {
   response.writeHead(status, { 'Content-Length': 0 });
   response.end();
--- a/src/http/link-token.ts
+++ b/src/http/link-token.ts
@@ -1,7 +1,7 @@
-/** Compares a link token that a peer presents with the deployment's, in a time that does not depend on where they differ. */
+/** Constant-time comparison of link tokens. */
 import { timingSafeEqual } from 'node:crypto';
 
-/** Whether both texts are the same. */
+/** Compares in a time that does not depend on where the tokens differ. */
 export function isSameToken(presented: string, expected: string): boolean {
   const presentedBytes = Buffer.from(presented);
   const expectedBytes = Buffer.from(expected);
--- a/src/http/listen.ts
+++ b/src/http/listen.ts
@@ -1,16 +1,16 @@
-/** Starts a server of any protocol at an address and says where it can be reached. */
+/** Binds a server of any protocol to an address. */
 import type { AddressInfo, Server } from 'node:net';
 
-/** Where a server listens. Port 0 takes any free port. */
+/** Address to listen on. Port 0 selects any free port. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * Resolves when the server listens.
+ * Starts listening.
  * @returns its origin, `http://ADDRESS:PORT`
- * @throws when the address cannot be had
+ * @throws when the address cannot be bound
  */
 export async function listen(server: Server, address: ListenAddress): Promise<string> {
   await new Promise<void>((resolve, reject) => {
--- a/src/http/listening-server.ts
+++ b/src/http/listening-server.ts
@@ -1,26 +1,26 @@
 /**
- * An HTTP server with shoredoor's limits on slow or malformed requests.
- *
- * For: every HTTP port of every program. Owns: the listening socket, the limits on heads and idle connections, and the
- * answer to what is not HTTP. Relies on: its listener for everything about whole requests; deadlines of calls are not
- * its matter.
+ * HTTP server with shoredoor's limits on request heads, slow requests and idle connections, for every HTTP port. Answers
+ * requests that cannot be parsed. Deadlines of calls are enforced elsewhere.
  */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import type { Socket } from 'node:net';
 import { listen, type ListenAddress } from './listen.js';
 
-/** Largest head of a request that is taken, in bytes: the engine's own default. */
+/** Maximum size of a request head, in bytes. */
 const MAX_HEADER_BYTES = 16 * 1024;
-/** Longest time for the head of a request to arrive, in milliseconds. */
+/** Timeout for receiving a request head, in milliseconds. */
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Longest time for a whole request to arrive, in milliseconds. */
+/** Timeout for receiving a whole request, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 120_000;
-/** Longer than the keep-alive of our own clients, so that they close idle connections first. In milliseconds. */
+/**
+ * Keep-alive timeout, in milliseconds. Longer than that of shoredoor's own clients, so that they close idle connections
+ * first.
+ */
 const KEEP_ALIVE_TIMEOUT_MS = 30_000;
-/** Interval between two looks for connections over these limits, in milliseconds. */
+/** Interval between checks for connections that exceed these timeouts, in milliseconds. */
 const CONNECTION_CHECK_INTERVAL_MS = 2_000;
 
-/** What clients may send, where it differs from shoredoor's own limits. */
+/** Limits of a server that override the defaults. */
 export interface ServerLimits {
   readonly maxHeaderBytes?: number;
 }
@@ -31,7 +31,7 @@
 };
 const BAD_REQUEST = '400 Bad Request';
 
-/** Answers a request that could not be parsed. Nothing of it is repeated in the answer. */
+/** Answers a request that could not be parsed, without echoing any of it. */
 function answerClientError(error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
@@ -53,11 +53,11 @@
 export class ListeningServer {
   private constructor(
     private readonly server: Server,
-    /** `http://ADDRESS:PORT` that the server listens on. */
+    /** The bound address, as `http://ADDRESS:PORT`. */
     readonly origin: string,
   ) {}
 
-  /** Starts listening. @throws when the address cannot be had */
+  /** Starts listening. @throws when the address cannot be bound */
   static async start(
     address: ListenAddress,
     listener: RequestListener,
@@ -78,13 +78,13 @@
     return new ListeningServer(server, await listen(server, address));
   }
 
-  /** Adopts changed time limits, for requests that begin from now on. */
+  /** Sets the timeouts of requests that begin from now on, in milliseconds. */
   setTimeouts(headerTimeoutMs: number, idleTimeoutMs: number): void {
     this.server.headersTimeout = headerTimeoutMs;
     this.server.keepAliveTimeout = idleTimeoutMs;
   }
 
-  /** Takes no new connections, and resolves when the last open one has ended. */
+  /** Stops accepting connections and resolves when the last open one has closed. */
   async close(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -92,7 +92,7 @@
     });
   }
 
-  /** Ends every connection at once. */
+  /** Closes all connections immediately. */
   destroy(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/src/http/node-transport.ts
+++ b/src/http/node-transport.ts
@@ -1,8 +1,6 @@
 /**
- * Sends the attempts of one call to the nodes of a service over HTTP.
- *
- * For: edges and the outbound side of nodes. Owns: the headers that carry the call's context and its trace. Relies on:
- * the pool of each node, and on `relay-handler.ts` for the answer.
+ * Sends the attempts of one call to nodes over HTTP, for edges and for the outbound side of nodes. Adds the headers with the
+ * call context, the trace context and the link token.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
@@ -29,7 +27,7 @@
 import { filterRequestHeaders, forwardRequest } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
-/** What the transports of one process share. */
+/** Options shared by all transports of a process. */
 export interface NodeTransportOptions {
   readonly clock: Clock;
   readonly pools: ConnectionPools;
--- a/src/http/relay-handler.ts
+++ b/src/http/relay-handler.ts
@@ -1,9 +1,6 @@
 /**
- * Receives one attempt's answer from undici and passes it on to the caller's response with backpressure. An answer that
- * breaks off destroys the response, so the caller never takes a part for the whole (RFC 9112, section 8).
- *
- * For: every transport that sends over HTTP. Owns: the state of the attempt. Relies on: its listener to decide whether an
- * answer is passed on, and on its policy for what differs between transports.
+ * Undici dispatch handler for one attempt: relays its answer to the caller's response with backpressure. An answer that is
+ * cut off destroys the response, so that the caller does not treat it as complete (RFC 9112, section 8).
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -11,27 +8,27 @@
 import type { AnswerHead, Attempt, AttemptListener } from '../call/transport.js';
 import { endToEndHeaders, type RawHeaders } from './header-filter.js';
 
-/** Reads from the headers what the call modules need, and adds to what the caller gets. */
+/** The parts of relaying that differ between transports. */
 export interface RelayPolicy {
-  /** The head as the call modules see it. */
+  /** Converts the head of an answer for the {@link AttemptListener}. */
   readHead(status: number, headers: IncomingHttpHeaders): AnswerHead;
-  /** Headers to add to the relayed answer. Called once, after `onHead` decided to relay. */
+  /** Headers to add to the relayed answer. Called once, after `onHead` returned `relay`. */
   extraHeaders(): RawHeaders;
-  /** Whether an answer that ends now was cut off by a reset of its connection. Default: never. */
+  /** Whether an answer that ends now was cut off by a connection reset. Default: never. */
   isCutOff?(): boolean;
-  /** An answer has begun. */
+  /** Called when an answer begins. */
   onAnswered?(): void;
-  /** The attempt was stopped after it was written and before an answer began. */
+  /** Called when the attempt is cancelled after the request was written and before an answer began. */
   onUnanswered?(): void;
 }
 
 /**
- * `waiting`: no answer has begun. `relaying`: it is passed on as it arrives. `discarding`: it arrives and is dropped.
- * `cancelled`: the attempt was stopped from this side. `done`: it ended or failed.
+ * `waiting`: no answer has begun. `relaying`: the answer is forwarded as it arrives. `discarding`: it is dropped as it
+ * arrives. `cancelled`: the attempt was cancelled by {@link RelayHandler.cancel}. `done`: the answer ended or failed.
  */
 type State = 'waiting' | 'relaying' | 'discarding' | 'cancelled' | 'done';
 
-/** Undici gives it back to {@link RelayHandler.onResponseError}, which looks at neither class nor code. */
+/** Undici passes it to {@link RelayHandler.onResponseError}, which ignores the error. */
 const ABORT_REASON = new Error('shoredoor: the attempt was stopped');
 const NO_EXCLUDED_HEADERS: ReadonlySet<string> = new Set();
 
@@ -51,7 +48,7 @@
     return this.state === 'done' || this.state === 'cancelled';
   }
 
-  /** Stops the attempt; the listener is not called any more. */
+  /** Cancels the attempt. The listener is not called afterwards. */
   cancel(): void {
     if (this.isFinished) return;
     if (this.state === 'waiting' && this.written) this.policy.onUnanswered?.();
@@ -60,7 +57,7 @@
     this.controller?.abort(ABORT_REASON);
   }
 
-  /** Undici is about to write the request to a connection. */
+  /** Called when undici is about to write the request to a connection. */
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.state === 'cancelled') controller.abort(ABORT_REASON);
@@ -117,7 +114,7 @@
     }
   }
 
-  /** The answer is not whole, and its receiver must see that. */
+  /** Aborts an incomplete answer, so that the caller does not treat it as complete. */
   private abortResponse(): void {
     this.state = 'done';
     this.response.destroy();
@@ -136,7 +133,7 @@
   }
 }
 
-/** Undici's raw headers as text; the parsed ones where it gives no raw ones. */
+/** Converts undici's raw headers to strings; falls back to the parsed headers if there are no raw ones. */
 function toRawHeaders(
   rawHeaders: Dispatcher.DispatchController['rawHeaders'],
   headers: IncomingHttpHeaders,
--- a/src/http/relayed-request.ts
+++ b/src/http/relayed-request.ts
@@ -1,9 +1,4 @@
-/**
- * A caller's request as it is sent on over HTTP.
- *
- * For: the transports of edges and nodes. Owns: which headers are replaced, and what of the request stays as it is.
- * Relies on: `header-filter.ts`; each transport adds its own headers.
- */
+/** Forwards a caller's request over HTTP, for the transports of edges and nodes. */
 import type { IncomingMessage } from 'node:http';
 import type { Dispatcher } from 'undici';
 import type { Attempt } from '../call/transport.js';
@@ -11,22 +6,21 @@
 import type { RelayHandler } from './relay-handler.js';
 import type { RequestBody } from './request-body.js';
 
-/** The trace context is set anew for each hop; `Expect` was answered when the caller sent it. */
+/** Each hop sets its own trace context; `Expect` has already been answered. */
 const REPLACED_HEADERS: ReadonlySet<string> = new Set(['traceparent', 'expect']);
 
-/** The caller's headers that are sent on. */
+/** Returns the caller's headers that are forwarded. */
 export function filterRequestHeaders(message: IncomingMessage): RawHeaders {
   return endToEndHeaders(message.rawHeaders, message.headers.connection, REPLACED_HEADERS);
 }
 
-/** What is sent on, and with which headers. */
 interface ForwardedRequest {
   readonly message: IncomingMessage;
   readonly body: RequestBody;
   readonly headers: RawHeaders;
 }
 
-/** Sends the request on; `handler` gets the answer and is the attempt under way. */
+/** Dispatches the request. `handler` receives the answer and is returned as the attempt. */
 export function forwardRequest(
   dispatcher: Dispatcher,
   { message, body, headers }: ForwardedRequest,
--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -1,50 +1,47 @@
 /**
- * The body of a caller's request. Small bodies are read whole before the call is sent, so that a slow sender holds no slot
- * and the call can be sent again; larger ones are streamed.
- *
- * For: every server. Owns: what was read until the body is handed on. Relies on: the limits that its server gives it.
+ * Reads request bodies. Small bodies are buffered before the call is sent, so that a slow sender holds no slot and the call
+ * can be retried; larger ones are streamed.
  */
 import { once } from 'node:events';
 import { Readable } from 'node:stream';
 import type { IncomingMessage } from 'node:http';
 import { ShoredoorError } from '../common/errors.js';
 
-/** Limits on request bodies. */
 export interface BodyLimits {
-  /** Bodies up to this size are held in memory. */
+  /** Bodies up to this size are buffered; of larger ones, the first bytes. */
   readonly bufferBytes: number;
-  /** Larger bodies are refused. */
+  /** Maximum size of a body. */
   readonly maxBytes: number;
-  /** Longest time for the held part to arrive, in milliseconds. */
+  /** Timeout for receiving the buffered part, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Limits of a server; settings replace the largest size alone. None of the figures is measured. */
+/** Default limits of a server. Settings override `maxBytes` only. */
 export const DEFAULT_BODY_LIMITS: BodyLimits = {
   bufferBytes: 64 * 1024,
   maxBytes: 64 * 1024 * 1024,
   timeoutMs: 10_000,
 };
 
-/** A body that is ready to be sent. */
+/** A request body that is ready to be forwarded. */
 export interface RequestBody {
-  /** What undici sends: nothing, the whole body, or a stream that can be read once. */
+  /** The body for undici: null for none, the whole body, or a stream that can be read once. */
   readonly content: Buffer | Readable | null;
-  /** The whole body, or the part of a streamed one that is held in memory; null for none. */
+  /** The whole body, or the first `bufferBytes` of a streamed one; null for none. */
   readonly start: Buffer | null;
-  /** Whether the body can be sent again from its start. */
+  /** Whether the body can be sent more than once. */
   readonly replayable: boolean;
 }
 
-/** Why a body was not taken. */
+/** Why a body could not be read. */
 export type BodyFault = 'too-large' | 'request-timeout' | 'caller-gone';
 
-/** Called with either a body or a fault. */
+/** Called once with either a body or a fault. */
 export type BodyCallback = (body: RequestBody | undefined, fault: BodyFault | undefined) => void;
 
 const NO_BODY: RequestBody = { content: null, start: null, replayable: true };
 
-/** Reads the body of `message` as far as it is held in memory, then calls back once. */
+/** Reads the buffered part of the body of `message`, then calls back. */
 export function readRequestBody(
   message: IncomingMessage,
   limits: BodyLimits,
@@ -65,7 +62,7 @@
   new BodyReader(message, limits, callback).start();
 }
 
-/** Reads until the end or until the held part is full. */
+/** Buffers a body until it ends or exceeds `bufferBytes`. */
 class BodyReader {
   private readonly chunks: Buffer[] = [];
   private size = 0;
@@ -90,7 +87,7 @@
     if (this.size <= this.limits.bufferBytes) return;
     this.message.pause();
     const content = Readable.from(this.streamRemaining(), { objectMode: false });
-    // The same bytes however the body was cut on its way.
+    // Cut at the limit, so that the bytes do not depend on the chunk boundaries.
     const start = Buffer.concat(this.chunks).subarray(0, this.limits.bufferBytes);
     this.finish({ content, start, replayable: false }, undefined);
   };
@@ -112,8 +109,8 @@
   }
 
   /**
-   * Ends the caller's connection. Resolves when the caller counts as gone, so that what follows is laid on the caller: an
-   * attempt that fails before that counts against its target.
+   * Closes the caller's connection and waits until it is closed. An attempt that failed before that would count as a
+   * failure of its target instead of its caller.
    */
   private async closeConnection(): Promise<void> {
     const { socket } = this.message;
@@ -122,7 +119,7 @@
     await closed;
   }
 
-  /** What was held and then the rest as it arrives; fails when the body grows too large. */
+  /** Yields the buffered chunks and then the rest as it arrives. @throws ShoredoorError when the body exceeds `maxBytes` */
   private async *streamRemaining(): AsyncGenerator<Buffer> {
     yield* this.chunks;
     let total = this.size;
--- a/src/http/reset-watch.ts
+++ b/src/http/reset-watch.ts
@@ -1,9 +1,7 @@
 /**
- * Tells answers that end with their connection from those whose connection was reset. Undici takes both for complete; an
- * answer without a length that ends in a reset is not (RFC 9112, section 8).
- *
- * For: `instance-pool.ts`. Owns: whether a connection of its pools is being reset in this turn of the event loop. Relies
- * on: its error listener running before undici's, and undici ending the answer in the same turn.
+ * Detects connection resets while an answer is being read. Undici treats an answer without a length as complete when its
+ * connection ends, even by a reset, which RFC 9112, section 8 does not allow. Depends on its error listener running before
+ * undici's, and on undici ending the answer in the same turn of the event loop.
  */
 import { buildConnector } from 'undici';
 
@@ -11,17 +9,17 @@
   private resetting = false;
   private readonly connect: buildConnector.connector;
 
-  /** @param timeoutMs longest time for a connection to be made, in milliseconds */
+  /** @param timeoutMs timeout for opening a connection, in milliseconds */
   constructor(timeoutMs: number) {
     this.connect = buildConnector({ timeout: timeoutMs });
   }
 
-  /** Whether a connection is being reset right now: answers that end in this turn are cut off. */
+  /** Whether a connection was reset in this turn of the event loop: answers that end in it are incomplete. */
   get isResetting(): boolean {
     return this.resetting;
   }
 
-  /** Makes connections whose resets are seen before undici acts on them. */
+  /** Opens connections and adds an error listener that runs before undici's. */
   readonly connector: buildConnector.connector = (options, callback) => {
     this.connect(options, (...result) => {
       const [, socket] = result;
--- a/src/http/target-headers.ts
+++ b/src/http/target-headers.ts
@@ -1,8 +1,6 @@
 /**
- * The headers between a sidecar, its clients and its target. Every deployment may have names of its own for them.
- *
- * For: the ingress, the gate and the probe of a target. Owns: the default names, and how an answer's head is judged.
- * Relies on: targets that repeat the request's id in their answers. Pure.
+ * Headers between a sidecar, its clients and its target. Their names can be configured. Also validates the head of a
+ * target's answer; targets repeat the request id in it.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { AnswerFault } from '../call/transport.js';
@@ -10,23 +8,23 @@
 
 /** Header names, in lower case. */
 export interface TargetHeaders {
-  /** Names a request; targets repeat it in the answer. */
+  /** Request id; targets repeat it in the answer. */
   readonly requestId: string;
-  /** Milliseconds until an answer is of no use. */
+  /** Time until the caller's deadline, in milliseconds. */
   readonly deadlineMs: string;
-  /** Instance that is meant; another one turns the request away. */
+  /** Expected instance; any other instance rejects the request. */
   readonly expectedInstance: string;
-  /** Service of the machine on which the request began. */
+  /** Service of the machine where the request originated. */
   readonly callingService: string;
-  /** In answers: the request was turned away and did not run. */
+  /** In answers: the request was rejected and did not run. */
   readonly notExecuted: string;
-  /** In answers to health checks: the instance that answered. */
+  /** In answers to health checks: id of the answering instance. */
   readonly instanceId: string;
-  /** In answers: requests running, requests waiting, and slots, with commas between them. */
+  /** In answers: the numbers of running requests, queued requests and slots, separated by commas. */
   readonly load: string;
-  /** API key of the caller; targets do not get it. */
+  /** API key of the caller; not forwarded to targets. */
   readonly apiKey: string;
-  /** To targets: name of the group whose key the caller presented. */
+  /** In requests to targets: name of the group that the caller's API key belongs to. */
   readonly group: string;
 }
 
@@ -42,16 +40,16 @@
   group: 'x-caller-group',
 };
 
-/** The one content encoding of an answer that passes for the target's own. */
+/** The only content encoding allowed in answers of a target. */
 const IDENTITY_ENCODING = 'identity';
 
-/** One value of a header; the first where it stands several times. */
+/** Returns the first value of a header. */
 export function headerValue(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** Whether an answer is the target's answer to the request with `requestId`, and if not, why. */
+/** Returns why an answer is not the target's answer to the request with `requestId`, or undefined if it is. */
 export function answerFault(
   names: TargetHeaders,
   requestId: string,
@@ -67,7 +65,7 @@
   return encoding === undefined || encoding === IDENTITY_ENCODING ? undefined : 'foreign';
 }
 
-/** Whether the end of an answer can be told from its head (RFC 9112, section 6.3). */
+/** Whether the head of an answer determines where its body ends (RFC 9112, section 6.3). */
 export function isFramed(status: number, headers: IncomingHttpHeaders): boolean {
   const hasNoBody = status === 204 || status === 304;
   return (
@@ -77,7 +75,7 @@
   );
 }
 
-/** The time that a client says it waits, in milliseconds; undefined when it says none. */
+/** Parses the remaining time of a client's deadline, in milliseconds; undefined if missing or malformed. */
 export function deadlineOf(names: TargetHeaders, headers: IncomingHttpHeaders): number | undefined {
   const text = headerValue(headers, names.deadlineMs);
   if (text === undefined || !/^\d{1,9}(?:\.\d+)?$/.test(text)) return undefined;
--- a/src/http/target-pool.ts
+++ b/src/http/target-pool.ts
@@ -1,8 +1,6 @@
 /**
- * The node's connections to its target, at most as many as the service declares.
- *
- * For: the inbound side of a node; sidecars use `src/membership/instance-pool.ts`, which tells incarnations of a target
- * apart. Owns: the pool in use. Relies on: undici to let calls under way finish on a pool that is closed.
+ * Connection pool of a node to its target, limited to the number of connections that the service declares. Sidecars use
+ * `src/membership/instance-pool.ts`, which distinguishes incarnations of a target.
  */
 import type { Dispatcher, Pool } from 'undici';
 import { createPool } from './connection-pools.js';
@@ -17,12 +15,12 @@
     this.pool = createPool(origin, { connections });
   }
 
-  /** Where the next call goes. */
+  /** Dispatcher for the next call. */
   get dispatcher(): Dispatcher {
     return this.pool;
   }
 
-  /** Adopts a changed number. Calls under way finish on their connections. */
+  /** Changes the maximum number of connections. Calls in flight finish on the old pool. */
   configure(connections: number): void {
     if (connections === this.connections) return;
     const replaced = this.pool;
@@ -31,7 +29,7 @@
     void replaced.close();
   }
 
-  /** Ends every connection at once. */
+  /** Closes all connections immediately. */
   async destroy(): Promise<void> {
     await this.pool.destroy();
   }
--- a/src/http/target-transport.ts
+++ b/src/http/target-transport.ts
@@ -1,8 +1,6 @@
 /**
- * Sends one call from a node to its target over HTTP.
- *
- * For: the inbound side of a node. Owns: the headers that the target gets. Relies on: `relay-handler.ts` for the answer,
- * and on the caller to stop the attempt at its deadline: the connection has no limit of its own.
+ * Sends one call from a node to its target over HTTP. The caller must cancel the attempt at its deadline, as the connection
+ * has no timeout.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -15,15 +13,14 @@
 import { filterRequestHeaders, forwardRequest } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
-/** One call to the target. */
 export interface TargetRequest {
   readonly context: CallContext;
-  /** Names this call in the trace context that the target passes on. */
+  /** Span id of this call in the trace context. */
   readonly spanId: string;
   readonly message: IncomingMessage;
   readonly body: RequestBody;
   readonly response: ServerResponse;
-  /** The outcome to send with the answer; taken once. */
+  /** Returns the outcome to send with the answer. Called at most once. */
   readonly takeOutcome: () => Outcome;
 }
 
--- a/src/settings/edge-settings.ts
+++ b/src/settings/edge-settings.ts
@@ -1,11 +1,10 @@
-/** The settings of `shoredoor edge`, as the shared pieces and its one address. */
+/** Schema of the settings of `shoredoor edge`. */
 import { z } from 'zod';
 import { followerShape, listenSchema } from './shared-settings.js';
 
-/** Settings of `shoredoor edge`. */
 export const edgeSettingsSchema = z.strictObject({
   ...followerShape,
-  /** Where callers from outside call. */
+  /** Address for external callers. */
   listen: listenSchema,
 });
 
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a program's settings: a YAML file, overridden by flags, checked in full before start. Relies on the schemas of this
- * folder; unknown keys are refused. docs/reference/settings.md lists the settings.
+ * Loads a program's settings from a YAML file, applies `--set` flags and validates the result; unknown keys are refused. See
+ * docs/reference/settings.md.
  */
 import { readFileSync } from 'node:fs';
 import { parse, YAMLParseError } from 'yaml';
@@ -8,7 +8,7 @@
 import { ValidationError } from '../common/errors.js';
 import { parseOrThrow } from '../common/validate.js';
 
-/** Sets `value` at a dotted path, making the objects on the way. */
+/** Sets `value` at a dotted path, creating missing objects. */
 function setAtPath(root: Record<string, unknown>, path: string, value: unknown): void {
   const names = path.split('.');
   const last = names.pop()!;
@@ -26,7 +26,7 @@
   current[last] = value;
 }
 
-/** One `--set path=value` flag; the value is read as YAML. */
+/** Applies one `--set PATH=VALUE` flag; the value is parsed as YAML. */
 function applyOverride(root: Record<string, unknown>, override: string): void {
   const separator = override.indexOf('=');
   if (separator <= 0) {
@@ -37,7 +37,7 @@
   setAtPath(root, override.slice(0, separator), parse(override.slice(separator + 1)));
 }
 
-/** Reads a YAML document. @throws ValidationError when it cannot be read or parsed */
+/** Reads a YAML file. @throws ValidationError when it cannot be read or parsed */
 export function readYamlFile(file: string): unknown {
   try {
     return parse(readFileSync(file, 'utf8')) as unknown;
@@ -53,10 +53,10 @@
 }
 
 /**
- * Reads and checks settings.
- * @param file YAML file, or undefined when everything comes from flags
- * @param overrides `PATH=VALUE` texts, applied in order
- * @throws ValidationError naming every fault with its path
+ * Loads and validates settings.
+ * @param file YAML file, or undefined to use flags only
+ * @param overrides `PATH=VALUE` strings, applied in order
+ * @throws ValidationError listing every fault with its path
  */
 export function loadSettings<Settings>(
   schema: z.ZodType<Settings>,
--- a/src/settings/node-settings.ts
+++ b/src/settings/node-settings.ts
@@ -1,19 +1,18 @@
-/** The settings of `shoredoor node`, as the shared pieces, its service, its addresses and its target. */
+/** Schema of the settings of `shoredoor node`. */
 import { z } from 'zod';
 import { nameSchema } from '../policy/resource-schema.js';
 import { followerShape, listenSchema, originSchema } from './shared-settings.js';
 
-/** Settings of `shoredoor node`. */
 export const nodeSettingsSchema = z.strictObject({
   ...followerShape,
   service: nameSchema,
-  /** Where edges and other nodes call. */
+  /** Address for edges and other nodes. */
   inbound: listenSchema,
-  /** Origin that other processes reach the inbound side under; the bound one when absent. */
+  /** Origin at which other processes reach the inbound side; defaults to the bound address. */
   advertise: originSchema.optional(),
-  /** Where the target sends its own calls to other services. */
+  /** Address for the target's own calls to other services. */
   outbound: listenSchema,
-  /** The back end beside this node. */
+  /** The backend that this node serves. */
   target: z.strictObject({ origin: originSchema }),
 });
 
--- a/src/settings/schemas.ts
+++ b/src/settings/schemas.ts
@@ -1,4 +1,4 @@
-/** The schemas of all programs' settings, for whoever checks or fills settings of several programs. */
+/** The settings schemas of all programs. */
 export { controlSettingsSchema, type ControlSettings } from './control-settings.js';
 export { edgeSettingsSchema, type EdgeSettings } from './edge-settings.js';
 export { nodeSettingsSchema, type NodeSettings } from './node-settings.js';
--- a/src/settings/shared-settings.ts
+++ b/src/settings/shared-settings.ts
@@ -1,29 +1,27 @@
 /**
- * The pieces of settings that several programs share: addresses, identity, stop, the link to control, and the bound on
- * quotas. Owns their forms, bounds and defaults; relies on zod alone. Names, forms and defaults are what deployed files
- * carry, so none of them may change (test/settings pins them).
+ * Settings schemas shared by several programs. Deployed files depend on their names, forms and defaults, so these must not
+ * change (checked in test/settings).
  */
 import { z } from 'zod';
 import { LOG_LEVELS } from '../common/logger.js';
 import { nameSchema } from '../policy/resource-schema.js';
 import { DEFAULT_QUOTA_RULE } from '../quota/quota-rule.js';
 
-/** Highest port number of TCP. */
 const MAX_PORT = 65_535;
-/** Shortest link token, in characters: long enough not to be guessed. */
+/** Minimum length of a link token, in characters, against guessing. */
 const MIN_TOKEN_LENGTH = 16;
-/** Time between turning unready and taking no more connections, in milliseconds. */
+/** Time between becoming unready and accepting no more connections, in milliseconds. */
 const DEFAULT_DRAIN_MS = 2_000;
-/** Longest time for calls under way to finish, in milliseconds. */
+/** Timeout for calls in flight to finish, in milliseconds. */
 const DEFAULT_STOP_TIMEOUT_MS = 60_000;
-/** Most requests under way in one process: a guard of memory far above what one process serves. */
+/** Maximum requests in flight in one process, to protect its memory; far above normal load. */
 const DEFAULT_MAX_IN_FLIGHT = 10_000;
-/** Longest request body, in bytes. */
+/** Maximum size of a request body, in bytes. */
 const DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024;
-/** Time between two heartbeats to control, in milliseconds: a fifth of the default lease of a member. */
+/** Interval of heartbeats to control, in milliseconds: a fifth of the default lease of a member. */
 const DEFAULT_HEARTBEAT_INTERVAL_MS = 2_000;
 
-/** Origin of a process: an IP address, as names would have to be looked up at every start. */
+/** Origin of a process. Requires an IP address, so that a start does not depend on DNS. */
 export const originSchema = z
   .string()
   .regex(
@@ -31,7 +29,7 @@
     'must be http://ADDRESS:PORT with an IP address',
   );
 
-/** `ADDRESS:PORT` as one text. */
+/** Matches `ADDRESS:PORT`. */
 const ADDRESS_AND_PORT = /^(?:(\d{1,3}(?:\.\d{1,3}){3})|\[([0-9a-fA-F:]+)\]):(\d{1,5})$/;
 
 function parseAddress(value: unknown): unknown {
@@ -53,35 +51,33 @@
   .string()
   .min(MIN_TOKEN_LENGTH, `must have at least ${MIN_TOKEN_LENGTH} characters`);
 
-/** Settings of every program. */
+/** Settings common to all programs. */
 export const commonShape = {
   id: nameSchema,
   zone: nameSchema,
-  /** Serves /metrics, /healthz and /readyz. */
+  /** Address of /metrics, /healthz and /readyz. */
   admin: listenSchema,
-  /** Shared by all processes of the deployment. */
+  /** Secret shared by all processes of the deployment. */
   linkToken: linkTokenSchema,
   logLevel: z.enum(LOG_LEVELS).default('info'),
   stop: z
     .strictObject({
-      /** Time between turning unready and taking no more connections. */
+      /** Time between becoming unready and accepting no more connections. */
       drainMs: z.number().int().min(0).max(600_000).default(DEFAULT_DRAIN_MS),
-      /**
-       * Time until the process is killed, where that is known: both other times are then parts of it.
-       */
+      /** Time until the process is killed, if known; replaces the other two settings. */
       graceMs: z.number().min(100).max(3_600_000).optional(),
-      /** Longest time for calls under way to finish. */
+      /** Timeout for calls in flight to finish. */
       timeoutMs: z.number().int().min(0).max(3_600_000).default(DEFAULT_STOP_TIMEOUT_MS),
     })
     .default({ drainMs: DEFAULT_DRAIN_MS, timeoutMs: DEFAULT_STOP_TIMEOUT_MS }),
 };
 
-/** Settings of every program that follows control: edge, node and sidecar. */
+/** Settings common to the programs that follow control: edge, node and sidecar. */
 export const followerShape = {
   ...commonShape,
-  /** Origins of control replicas: all of them, or a few that know the others. */
+  /** Origins of all control replicas, or of some that know the others. */
   control: z.array(originSchema).min(1, 'must name at least one control replica'),
-  /** Time between two heartbeats to control, in milliseconds. */
+  /** Interval of heartbeats to control, in milliseconds. */
   heartbeatIntervalMs: z.number().int().min(100).max(60_000).default(DEFAULT_HEARTBEAT_INTERVAL_MS),
   limits: z
     .strictObject({
@@ -96,16 +92,16 @@
     .default({ maxInFlight: DEFAULT_MAX_IN_FLIGHT, maxBodyBytes: DEFAULT_MAX_BODY_BYTES }),
 };
 
-/** The bound on the requests of a group with a rate, in any window of time. */
+/** Limit on the requests of a group with a rate, in any window of time. */
 export const quotaRuleSchema = z
   .strictObject({
     windowMs: z.number().min(1_000).max(600_000),
-    /** Part by which a group may run over what its rate and burst give in a window. */
+    /** Fraction by which a group may exceed the requests that its rate and burst allow in a window. */
     tolerance: z.number().min(0).max(1),
-    /** Requests by which it may run over besides. */
+    /** Number of requests by which it may exceed them in addition. */
     slack: z.number().min(0).max(1_000_000),
   })
   .default(DEFAULT_QUOTA_RULE);
 
-/** What every program that follows control is told. */
+/** Settings of any program that follows control. */
 export type FollowerSettings = z.infer<z.ZodObject<typeof followerShape>>;
--- a/src/settings/sidecar-settings.ts
+++ b/src/settings/sidecar-settings.ts
@@ -1,60 +1,59 @@
-/** The settings of `shoredoor sidecar`, as the shared pieces, its addresses, its target, and the bounds of its deployment. */
+/** Schema of the settings of `shoredoor sidecar`. */
 import { z } from 'zod';
 import { nameSchema } from '../policy/resource-schema.js';
 import { followerShape, listenSchema, originSchema, quotaRuleSchema } from './shared-settings.js';
 
-/** Repeats at a service as a part of its first arrivals: a usual bound of retry budgets. */
+/** Allowed repeats (attempts after one that may have arrived) at a service, as a fraction of its first arrivals. */
 const DEFAULT_RETRY_RATIO = 0.2;
-/** Repeats besides, over all targets of a service, for services with few calls. */
+/** Additional repeats over all targets of a service, for services with few calls. */
 const DEFAULT_RETRY_SLACK = 50;
-/** Time over which a service's arrivals are counted, in milliseconds. */
+/** Window in which the arrivals of a service are counted, in milliseconds. */
 const DEFAULT_RETRY_WINDOW_MS = 10_000;
-/** The bound on repeats at a service where settings give none. */
+/** Default limit on repeats at a service. */
 export const DEFAULT_RETRY_BOUND = {
   ratio: DEFAULT_RETRY_RATIO,
   slack: DEFAULT_RETRY_SLACK,
   windowMs: DEFAULT_RETRY_WINDOW_MS,
 };
-/** Time after its last report for which a target is used, in milliseconds. */
+/** Time after which a target that has not reported is no longer used, in milliseconds. */
 const DEFAULT_TARGET_SILENT_MS = 6_000;
 
-/** Settings of `shoredoor sidecar`. */
 export const sidecarSettingsSchema = z.strictObject({
   ...followerShape,
-  /** The service of this machine: named to the targets of calls that begin here. */
+  /** Service of this machine; sent to the targets of calls that originate here. */
   service: nameSchema,
-  /** Where the sidecars of other machines call. */
+  /** Address for the sidecars of other machines. */
   inbound: listenSchema,
-  /** Origin that they reach the inbound side under; the bound one when absent. */
+  /** Origin at which they reach the inbound side; defaults to the bound address. */
   advertise: originSchema.optional(),
-  /** Where clients and the target of this machine call. */
+  /** Address for clients and for calls of this machine's target. */
   outbound: listenSchema,
-  /** Where the target reports itself. */
+  /** Address at which the target registers. */
   registration: listenSchema,
   /**
-   * `ADDRESS:PORT` of the target of this machine, asked for its health at the start; without it the
-   * target is unknown until it reports itself.
+   * `ADDRESS:PORT` of this machine's target, for a health check at the start. If absent, the target
+   * is unknown until it registers.
    */
   target: z
     .string()
     .regex(/^\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}$/, 'must be ADDRESS:PORT')
     .nullish(),
-  /** A target that has not reported itself for this long is not used, in milliseconds. */
+  /** Time after which a target that has not reported is no longer used, in milliseconds. */
   targetSilentMs: z.number().int().min(500).max(600_000).default(DEFAULT_TARGET_SILENT_MS),
   /**
-   * What an answer without a length that ends with its connection is: `whole`, or `cut-off` where
-   * targets give a length to every sound answer.
+   * How to treat an answer without a length that ends with its connection: as `whole`, or as
+   * `cut-off` if targets send a length with every complete answer.
    */
   unframedAnswers: z.enum(['whole', 'cut-off']).default('whole'),
-  /** Whether clients read fractions of a second in `Retry-After`; RFC 9110 knows whole ones only. */
+  /** Whether clients accept fractions of a second in `Retry-After`; RFC 9110 allows integers only. */
   fractionalRetryAfter: z.boolean().default(false),
   /**
-   * Where keys may be taken away: milliseconds after the acknowledgement of that within which no request runs under
-   * them, on any machine. Without it a machine that control does not reach goes on with the keys that it knows.
+   * For deployments that revoke API keys: milliseconds after the acknowledgement of a revocation from which no machine
+   * runs requests with the revoked key. If absent, a machine without contact to control keeps accepting the keys it knows.
    */
   revocation: z.strictObject({ withinMs: z.number().min(100).max(3_600_000) }).optional(),
   quota: quotaRuleSchema,
-  /** Repeats that a service may see, over all its targets: a part of its first arrivals, and some besides. */
+  /** Limit on repeats at a service, over all its targets: a fraction of its first arrivals plus a slack. */
   retries: z
     .strictObject({
       ratio: z.number().min(0).max(1).default(DEFAULT_RETRY_RATIO),
--- a/test/http/request-body.test.ts
+++ b/test/http/request-body.test.ts
@@ -1,9 +1,6 @@
 /**
- * Holds that a body which grows too large while it is sent on is seen to break off.
- *
- * Symptom: a chunked body over the limit was cut at the limit, and its stream ended as if that were the whole.
- * Sequence: the part that is held in memory is full, the request is sent on, and the rest passes the largest size; a body
- * with a declared length is refused before that. Cause: the generator of the stream returned where it should have failed.
+ * Guards against truncating a chunked request body that exceeds the maximum size while it is being forwarded: the stream
+ * must fail, not end as if the body were complete.
  */
 import { expect } from 'chai';
 import { createServer, request, type ClientRequest, type Server } from 'node:http';
@@ -30,7 +27,7 @@
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     client = request({ port: (server.address() as AddressInfo).port, method: 'POST' });
-    // The server ends the connection.
+    // The server closes the connection.
     client.on('error', () => undefined);
   });
 
@@ -40,7 +37,7 @@
     server.closeAllConnections();
   });
 
-  /** The bytes that are sent on, and whether they ended as a whole body. */
+  /** Reads the forwarded body: its number of bytes, and whether it ended without an error. */
   async function readForwardedBody(): Promise<{ bytes: number; isWhole: boolean }> {
     const body = await bodyRead;
     let bytes = 0;
@@ -66,7 +63,7 @@
     await bodyRead;
     client.end('x'.repeat(51));
     expect((await result).isWhole).to.equal(false);
-    // An attempt that fails while its caller is there counts against its target.
+    // An attempt that fails while its caller is connected counts as a failure of its target.
     expect(isCallerGone).to.equal(true);
   });
 });
--- a/test/settings/settings-fields.test.ts
+++ b/test/settings/settings-fields.test.ts
@@ -1,7 +1,7 @@
 /**
- * Settings files and declarations of running deployments keep their fields, bounds and defaults.
- * test/fixtures/settings-fields.json lists the fields of each schema, test/fixtures/settings-cases.json holds settings as
- * they are written and read, and the faults that operators are told.
+ * Guards against changes of fields, bounds and defaults that would break the settings and declarations of running
+ * deployments. test/fixtures/settings-fields.json lists the fields of each schema; test/fixtures/settings-cases.json holds
+ * example settings with the parsed result or the reported faults.
  */
 import { expect } from 'chai';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -20,7 +20,7 @@
 } from '../../src/settings/schemas.js';
 import { schemaFields, type SchemaFields } from '../support/schema-fields.js';
 
-/** Settings as an operator gives them: the lines of a file, and `--set` flags. */
+/** Settings as an operator writes them: the lines of a file and `--set` flags. */
 interface SettingsInput {
   readonly program: string;
   readonly file: readonly string[];
@@ -30,11 +30,11 @@
 interface SettingsCases {
   readonly read: readonly (SettingsInput & { readonly settings: unknown })[];
   readonly refused: readonly (SettingsInput & { readonly faults: readonly Fault[] })[];
-  /** A resource alone, and its faults. */
+  /** Single resources and their faults. */
   readonly resources: readonly { readonly resource: unknown; readonly faults: unknown }[];
-  /** The resources of a set, and their faults. */
+  /** Sets of resources and their faults. */
   readonly sets: readonly { readonly resources: readonly unknown[]; readonly faults: unknown }[];
-  /** Resources as they are stored with their defaults. */
+  /** Resources and their stored form, with defaults. */
   readonly stored: readonly { readonly resource: unknown; readonly text: string }[];
 }
 
--- a/test/settings/settings-page.test.ts
+++ b/test/settings/settings-page.test.ts
@@ -1,4 +1,4 @@
-/** Holds docs/reference/settings.md to the schemas: every setting of a program stands there with its default, and no other. */
+/** Checks that docs/reference/settings.md lists exactly the settings of the schemas, with their defaults. */
 import { expect } from 'chai';
 import { readFileSync } from 'node:fs';
 import type { z } from 'zod';
@@ -20,10 +20,10 @@
 const ALL_PROGRAMS_HEADING = 'All programs';
 const ROW = /^\| `([^`]+)` +\| ([^|]+?) +\|/;
 
-/** Each setting by its path, with its default as the page writes it. */
+/** Defaults by the path of the setting, formatted as on the page. */
 type Defaults = Record<string, string>;
 
-/** The rows of the tables under headings for all programs, or that name this one. */
+/** Reads the tables under the heading for all programs and under headings that name this program. */
 function defaultsOnPage(program: string): Defaults {
   const defaults: Defaults = {};
   for (const section of PAGE.split(/^## /m).slice(1)) {
@@ -39,7 +39,7 @@
   return defaults;
 }
 
-/** The settings that hold no others. */
+/** Returns the defaults of the settings without nested settings. */
 function defaultsOfSchema(schema: z.ZodType): Defaults {
   const fields = schemaFields(schema);
   const paths = Object.keys(fields).filter((path) => path !== '(whole)' && !path.includes('<'));
@@ -51,7 +51,7 @@
   return path.startsWith(`${parent}.`) || path.startsWith(`${parent}[]`);
 }
 
-/** A default of its own, or that of the object which holds the setting, or none if it or that object may be left out. */
+/** Returns the setting's own default, else the one in its parent's default; `none` if it or a parent is optional. */
 function defaultOf(fields: SchemaFields, path: string): string {
   const own = ownDefault(fields, path);
   if (own !== undefined) return `\`${formatValue(own)}\``;
