--- a/src/http/relay-handler.ts
+++ b/src/http/relay-handler.ts
@@ -29,7 +29,7 @@
 type State = 'waiting' | 'relaying' | 'discarding' | 'cancelled' | 'done';
 
 /** Undici passes it to {@link RelayHandler.onResponseError}, which ignores the error. */
-const ABORT_REASON = new Error('shoredoor: the attempt was stopped');
+const ABORT_REASON = new Error('shoredoor: the attempt was cancelled');
 const NO_EXCLUDED_HEADERS: ReadonlySet<string> = new Set();
 
 export class RelayHandler implements Dispatcher.DispatchHandler, Attempt {
--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -127,7 +127,7 @@
       total += chunk.length;
       if (total > this.limits.maxBytes) {
         await this.closeConnection();
-        throw new ShoredoorError('the body is larger than allowed');
+        throw new ShoredoorError('request body exceeds the maximum size');
       }
       yield chunk;
     }
