--- a/src/http/target-pool.ts
+++ b/src/http/target-pool.ts
@@ -1,6 +1,6 @@
 /**
- * Connection pool of a node to its target, limited to the number of connections that the service declares. Sidecars use
- * `src/membership/instance-pool.ts`, which distinguishes incarnations of a target.
+ * Connection pool of a node to its target, limited to the number of connections that the service declares. Sidecars have
+ * a pool of their own in `src/membership`, which distinguishes incarnations of a target.
  */
 import type { Dispatcher, Pool } from 'undici';
 import { createPool } from './connection-pools.js';
