--- a/src/client/resource-client.ts
+++ b/src/client/resource-client.ts
@@ -1,7 +1,4 @@
-/**
- * A client of the resource API, for the command line: puts, deletes, lists, gets, watches and asks for the status. Relies on
- * `replica-requests.ts`, which tries every replica and follows the leader. Owns no state.
- */
+/** Client of the resource API, for the command line. Tries every replica and follows redirects to the leader. */
 import { RequestError } from '../common/errors.js';
 import type { ResourceId, StoredResource } from '../policy/stored-resource.js';
 import type { StatusReport } from '../sync/status-report.js';
@@ -10,23 +7,21 @@
 import {
   expectOk,
   MAX_ROUNDS,
-  noAnswer,
+  createNoAnswerError,
   pauseBetweenRounds,
-  ReplicaRequests,
+  ReplicaClient,
   type ApiAnswer,
   type ControlAccess,
 } from './replica-requests.js';
 
-/** A change to send. */
 export interface ChangeOptions {
-  /** Sent as `Idempotency-Key`; resends use the same one. */
+  /** Sent as `Idempotency-Key`; must be the same when the change is sent again. */
   readonly changeId: string;
-  /** Version that the resource must stand at; `absent` when it must not exist. */
+  /** Version that the resource must have; `absent` if it must not exist. */
   readonly expect?: number | 'absent';
   readonly dryRun?: boolean;
 }
 
-/** The answer of a list request. */
 export interface ResourceList {
   readonly revision: number;
   readonly items: readonly StoredResource[];
@@ -37,14 +32,14 @@
 }
 
 export class ResourceClient {
-  private readonly requests: ReplicaRequests;
+  private readonly replicaClient: ReplicaClient;
 
   constructor(private readonly access: ControlAccess) {
-    this.requests = new ReplicaRequests(access);
+    this.replicaClient = new ReplicaClient(access);
   }
 
   async put(resource: Resource, change: ChangeOptions): Promise<ApiAnswer> {
-    return this.requests.send({
+    return this.replicaClient.send({
       method: 'PUT',
       path: resourcePath(resource) + dryRunQuery(change),
       headers: changeHeaders(change),
@@ -53,7 +48,7 @@
   }
 
   async delete(id: ResourceId, change: ChangeOptions): Promise<ApiAnswer> {
-    return this.requests.send({
+    return this.replicaClient.send({
       method: 'DELETE',
       path: resourcePath(id) + dryRunQuery(change),
       headers: changeHeaders(change),
@@ -61,24 +56,24 @@
   }
 
   async get(id: ResourceId): Promise<ApiAnswer> {
-    return this.requests.send({ method: 'GET', path: resourcePath(id) });
+    return this.replicaClient.send({ method: 'GET', path: resourcePath(id) });
   }
 
-  /** @throws RequestError when the list cannot be had */
+  /** @throws RequestError when no replica answers, or with a status other than 200 */
   async list(): Promise<ResourceList> {
-    const answer = await this.requests.send({ method: 'GET', path: '/v1/resources' });
+    const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/resources' });
     return expectOk(answer) as ResourceList;
   }
 
-  /** @throws RequestError when the report cannot be had */
+  /** @throws RequestError when no replica answers, or with a status other than 200 */
   async status(): Promise<StatusReport> {
-    const answer = await this.requests.send({ method: 'GET', path: '/v1/status' });
+    const answer = await this.replicaClient.send({ method: 'GET', path: '/v1/status' });
     return expectOk(answer) as StatusReport;
   }
 
   /**
-   * Follows the changes after `from`, across replicas.
-   * @throws RequestError when no replica can be reached
+   * Watches the changes after revision `from`, switching replicas when one fails. Ends after a `relist` event.
+   * @throws RequestError when a replica answers with an error status, or when none can be reached
    */
   async *watch(from: number): AsyncGenerator<WatchEvent> {
     let revision = from;
@@ -86,7 +81,7 @@
     for (let index = 0; ; index += 1) {
       const origin = this.access.origins[index % this.access.origins.length]!;
       try {
-        for await (const event of this.requests.watch(origin, revision)) {
+        for await (const event of this.replicaClient.watch(origin, revision)) {
           failures = 0;
           if (event.type === 'change') revision = event.change.revision;
           yield event;
@@ -95,7 +90,7 @@
       } catch (error) {
         if (error instanceof RequestError && error.status !== 0) throw error;
         failures += 1;
-        if (failures > MAX_ROUNDS * this.access.origins.length) throw noAnswer(error);
+        if (failures > MAX_ROUNDS * this.access.origins.length) throw createNoAnswerError(error);
         await pauseBetweenRounds();
       }
     }
--- a/src/http/node-transport.ts
+++ b/src/http/node-transport.ts
@@ -1,8 +1,6 @@
 /**
- * Sends the attempts of one call to the nodes of a service over HTTP.
- *
- * For: edges and the outbound side of nodes. Owns: the headers that carry the call's context and its trace. Relies on:
- * the pool of each node, and on `relay-handler.ts` for the answer.
+ * Sends the attempts of one call to nodes over HTTP, for edges and for the outbound side of nodes. Adds the headers with the
+ * call context, the trace context and the link token.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '../common/clock.js';
@@ -26,10 +24,10 @@
 import type { ConnectionPools } from './connection-pools.js';
 import type { RawHeaders } from './header-filter.js';
 import { RelayHandler, type RelayPolicy } from './relay-handler.js';
-import { relayedHeaders, sendRelayed } from './relayed-request.js';
+import { filterRequestHeaders, forwardRequest } from './relayed-request.js';
 import type { RequestBody } from './request-body.js';
 
-/** What the transports of one process share. */
+/** Options shared by all transports of a process. */
 export interface NodeTransportOptions {
   readonly clock: Clock;
   readonly pools: ConnectionPools;
@@ -46,7 +44,7 @@
     private readonly body: RequestBody,
     private readonly response: ServerResponse,
   ) {
-    this.baseHeaders = relayedHeaders(message);
+    this.baseHeaders = filterRequestHeaders(message);
   }
 
   get replayable(): boolean {
@@ -67,11 +65,11 @@
       LINK_HEADER,
       linkToken,
     ];
-    const handler = new RelayHandler(this.response, this.relayPolicy(), listener);
-    return sendRelayed(pools.get(endpoint.origin), { message, body, headers }, handler);
+    const handler = new RelayHandler(this.response, this.createRelayPolicy(), listener);
+    return forwardRequest(pools.get(endpoint.origin), { message, body, headers }, handler);
   }
 
-  private relayPolicy(): RelayPolicy {
+  private createRelayPolicy(): RelayPolicy {
     return {
       readHead: (status, headers) => {
         const text = headers[OUTCOME_HEADER];
--- a/src/http/relay-handler.ts
+++ b/src/http/relay-handler.ts
@@ -1,9 +1,6 @@
 /**
- * Receives one attempt's answer from undici and passes it on to the caller's response with backpressure. An answer that
- * breaks off destroys the response, so the caller never takes a part for the whole (RFC 9112, section 8).
- *
- * For: every transport that sends over HTTP. Owns: the state of the attempt. Relies on: its listener to decide whether an
- * answer is passed on, and on its policy for what differs between transports.
+ * Undici dispatch handler for one attempt: relays its answer to the caller's response with backpressure. An answer that is
+ * cut off destroys the response, so that the caller does not treat it as complete (RFC 9112, section 8).
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -11,29 +8,29 @@
 import type { AnswerHead, Attempt, AttemptListener } from '../call/transport.js';
 import { endToEndHeaders, type RawHeaders } from './header-filter.js';
 
-/** Reads from the headers what the call modules need, and adds to what the caller gets. */
+/** The parts of relaying that differ between transports. */
 export interface RelayPolicy {
-  /** The head as the call modules see it. */
+  /** Converts the head of an answer for the {@link AttemptListener}. */
   readHead(status: number, headers: IncomingHttpHeaders): AnswerHead;
-  /** Headers to add to the relayed answer. Called once, after `onHead` decided to relay. */
+  /** Headers to add to the relayed answer. Called once, after `onHead` returned `relay`. */
   extraHeaders(): RawHeaders;
-  /** Whether an answer that ends now was cut off by a reset of its connection. Default: never. */
+  /** Whether an answer that ends now was cut off by a connection reset. Default: never. */
   isCutOff?(): boolean;
-  /** An answer has begun. */
+  /** Called when an answer begins. */
   onAnswered?(): void;
-  /** The attempt was stopped after it was written and before an answer began. */
+  /** Called when the attempt is cancelled after the request was written and before an answer began. */
   onUnanswered?(): void;
 }
 
 /**
- * `waiting`: no answer has begun. `relaying`: it is passed on as it arrives. `discarding`: it arrives and is dropped.
- * `cancelled`: the attempt was stopped from this side. `done`: it ended or failed.
+ * `waiting`: no answer has begun. `relaying`: the answer is forwarded as it arrives. `discarding`: it is dropped as it
+ * arrives. `cancelled`: the attempt was cancelled by {@link RelayHandler.cancel}. `done`: the answer ended or failed.
  */
 type State = 'waiting' | 'relaying' | 'discarding' | 'cancelled' | 'done';
 
-/** Undici gives it back to {@link RelayHandler.onResponseError}, which looks at neither class nor code. */
-const ABORT_REASON = new Error('shoredoor: the attempt was stopped');
-const NOTHING_DROPPED: ReadonlySet<string> = new Set();
+/** Undici passes it to {@link RelayHandler.onResponseError}, which ignores the error. */
+const ABORT_REASON = new Error('shoredoor: the attempt was cancelled');
+const NO_EXCLUDED_HEADERS: ReadonlySet<string> = new Set();
 
 export class RelayHandler implements Dispatcher.DispatchHandler, Attempt {
   written = false;
@@ -47,20 +44,20 @@
     private readonly listener: AttemptListener,
   ) {}
 
-  private get isOver(): boolean {
+  private get isFinished(): boolean {
     return this.state === 'done' || this.state === 'cancelled';
   }
 
-  /** Stops the attempt; the listener is not called any more. */
+  /** Cancels the attempt. The listener is not called afterwards. */
   cancel(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     if (this.state === 'waiting' && this.written) this.policy.onUnanswered?.();
     this.state = 'cancelled';
     this.response.off('drain', this.onDrain);
     this.controller?.abort(ABORT_REASON);
   }
 
-  /** Undici is about to write the request to a connection. */
+  /** Called when undici is about to write the request to a connection. */
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.controller = controller;
     if (this.state === 'cancelled') controller.abort(ABORT_REASON);
@@ -72,14 +69,14 @@
     statusCode: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.isOver || statusCode < 200) return;
+    if (this.isFinished || statusCode < 200) return;
     this.policy.onAnswered?.();
     const decision = this.listener.onHead(this.policy.readHead(statusCode, headers));
     if (decision === 'discard') {
       this.state = 'discarding';
       return;
     }
-    if (this.isOver) return;
+    if (this.isFinished) return;
     this.state = 'relaying';
     this.relayHead(controller, statusCode, headers);
   }
@@ -93,7 +90,7 @@
 
   onResponseEnd(): void {
     if (this.state === 'relaying' && this.policy.isCutOff?.() === true) {
-      this.breakOff();
+      this.abortResponse();
       return;
     }
     if (this.state === 'relaying') {
@@ -107,7 +104,7 @@
 
   onResponseError(_controller: Dispatcher.DispatchController, _error: Error): void {
     if (this.state === 'relaying') {
-      this.breakOff();
+      this.abortResponse();
       return;
     }
     const { state, written } = this;
@@ -117,8 +114,8 @@
     }
   }
 
-  /** The answer is not whole, and its receiver must see that. */
-  private breakOff(): void {
+  /** Aborts an incomplete answer, so that the caller does not treat it as complete. */
+  private abortResponse(): void {
     this.state = 'done';
     this.response.destroy();
     this.listener.onFailure({ reason: 'broken-answer', written: true });
@@ -129,15 +126,15 @@
     statusCode: number,
     headers: IncomingHttpHeaders,
   ): void {
-    const raw = toRawStrings(controller.rawHeaders, headers);
-    const kept = endToEndHeaders(raw, headers.connection, NOTHING_DROPPED);
+    const raw = toRawHeaders(controller.rawHeaders, headers);
+    const kept = endToEndHeaders(raw, headers.connection, NO_EXCLUDED_HEADERS);
     kept.push(...this.policy.extraHeaders());
     this.response.writeHead(statusCode, kept);
   }
 }
 
-/** Undici's raw headers as text; the parsed ones where it gives no raw ones. */
-function toRawStrings(
+/** Converts undici's raw headers to strings; falls back to the parsed headers if there are no raw ones. */
+function toRawHeaders(
   rawHeaders: Dispatcher.DispatchController['rawHeaders'],
   headers: IncomingHttpHeaders,
 ): string[] {
--- a/src/http/request-body.ts
+++ b/src/http/request-body.ts
@@ -1,71 +1,68 @@
 /**
- * The body of a caller's request. Small bodies are read whole before the call is sent, so that a slow sender holds no slot
- * and the call can be sent again; larger ones are streamed.
- *
- * For: every server. Owns: what was read until the body is handed on. Relies on: the limits that its server gives it.
+ * Reads request bodies. Small bodies are buffered before the call is sent, so that a slow sender holds no slot and the call
+ * can be retried; larger ones are streamed.
  */
 import { once } from 'node:events';
 import { Readable } from 'node:stream';
 import type { IncomingMessage } from 'node:http';
 import { ShoredoorError } from '../common/errors.js';
 
-/** Limits on request bodies. */
 export interface BodyLimits {
-  /** Bodies up to this size are held in memory. */
+  /** Bodies up to this size are buffered; of larger ones, the first bytes. */
   readonly bufferBytes: number;
-  /** Larger bodies are refused. */
+  /** Maximum size of a body. */
   readonly maxBytes: number;
-  /** Longest time for the held part to arrive, in milliseconds. */
+  /** Timeout for receiving the buffered part, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Limits of a server; settings replace the largest size alone. None of the figures is measured. */
+/** Default limits of a server. Settings override `maxBytes` only. */
 export const DEFAULT_BODY_LIMITS: BodyLimits = {
   bufferBytes: 64 * 1024,
   maxBytes: 64 * 1024 * 1024,
   timeoutMs: 10_000,
 };
 
-/** A body that is ready to be sent. */
+/** A request body that is ready to be forwarded. */
 export interface RequestBody {
-  /** What undici sends: nothing, the whole body, or a stream that can be read once. */
+  /** The body for undici: null for none, the whole body, or a stream that can be read once. */
   readonly content: Buffer | Readable | null;
-  /** The whole body, or the part of a streamed one that is held in memory; null for none. */
+  /** The whole body, or the first `bufferBytes` of a streamed one; null for none. */
   readonly start: Buffer | null;
-  /** Whether the body can be sent again from its start. */
+  /** Whether the body can be sent more than once. */
   readonly replayable: boolean;
 }
 
-/** Why a body was not taken. */
+/** Why a body could not be read. */
 export type BodyFault = 'too-large' | 'request-timeout' | 'caller-gone';
 
-/** Called with either a body or a fault. */
+/** Called once with either a body or a fault. */
 export type BodyCallback = (body: RequestBody | undefined, fault: BodyFault | undefined) => void;
 
 const NO_BODY: RequestBody = { content: null, start: null, replayable: true };
 
-/** Reads the body of `message` as far as it is held in memory, then calls back once. */
+/** Reads the buffered part of the body of `message`, then calls back. */
 export function readRequestBody(
   message: IncomingMessage,
   limits: BodyLimits,
   callback: BodyCallback,
 ): void {
   const { headers } = message;
-  const declared = headers['content-length'];
-  const chunked = headers['transfer-encoding'] !== undefined;
-  if (!chunked && (declared === undefined || declared === '0')) {
+  const contentLength = headers['content-length'];
+  const isChunked = headers['transfer-encoding'] !== undefined;
+  if (!isChunked && (contentLength === undefined || contentLength === '0')) {
     message.resume();
     callback(NO_BODY, undefined);
     return;
   }
-  if (declared !== undefined && Number(declared) > limits.maxBytes) {
+  if (contentLength !== undefined && Number(contentLength) > limits.maxBytes) {
     callback(undefined, 'too-large');
     return;
   }
   new BodyReader(message, limits, callback).start();
 }
 
-/** Reads until the end or until the held part is full. */
+/** Buffers a body until it ends or exceeds `bufferBytes`. */
 class BodyReader {
   private readonly chunks: Buffer[] = [];
   private size = 0;
@@ -89,15 +86,15 @@
     this.size += chunk.length;
     if (this.size <= this.limits.bufferBytes) return;
     this.message.pause();
-    const content = Readable.from(this.remaining(), { objectMode: false });
-    // The same bytes however the body was cut on its way.
+    const content = Readable.from(this.streamRemaining(), { objectMode: false });
+    // Cut at the limit, so that the bytes do not depend on the chunk boundaries.
     const start = Buffer.concat(this.chunks).subarray(0, this.limits.bufferBytes);
     this.finish({ content, start, replayable: false }, undefined);
   };
 
   private readonly onEnd = (): void => {
-    const only = this.chunks.length === 1 ? this.chunks[0] : undefined;
-    const content = only ?? Buffer.concat(this.chunks);
+    const singleChunk = this.chunks.length === 1 ? this.chunks[0] : undefined;
+    const content = singleChunk ?? Buffer.concat(this.chunks);
     this.finish({ content, start: content, replayable: true }, undefined);
   };
 
@@ -112,25 +109,25 @@
   }
 
   /**
-   * Ends the caller's connection. Resolves when the caller counts as gone, so that what follows is laid on the caller: an
-   * attempt that fails before that counts against its target.
+   * Closes the caller's connection and waits until it is closed. An attempt that failed before that would count as a
+   * failure of its target instead of its caller.
    */
-  private async endConnection(): Promise<void> {
+  private async closeConnection(): Promise<void> {
     const { socket } = this.message;
     const closed = socket.closed ? undefined : once(socket, 'close');
     this.message.destroy();
     await closed;
   }
 
-  /** What was held and then the rest as it arrives; fails when the body grows too large. */
-  private async *remaining(): AsyncGenerator<Buffer> {
+  /** Yields the buffered chunks and then the rest as it arrives. @throws ShoredoorError when the body exceeds `maxBytes` */
+  private async *streamRemaining(): AsyncGenerator<Buffer> {
     yield* this.chunks;
     let total = this.size;
     for await (const chunk of this.message as AsyncIterable<Buffer>) {
       total += chunk.length;
       if (total > this.limits.maxBytes) {
-        await this.endConnection();
-        throw new ShoredoorError('the body is larger than allowed');
+        await this.closeConnection();
+        throw new ShoredoorError('request body exceeds the maximum size');
       }
       yield chunk;
     }
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a program's settings: a YAML file, overridden by flags, checked in full before start. Relies on the schemas of this
- * folder; unknown keys are refused. docs/reference/settings.md lists the settings.
+ * Loads a program's settings from a YAML file, applies `--set` flags and validates the result; unknown keys are refused. See
+ * docs/reference/settings.md.
  */
 import { readFileSync } from 'node:fs';
 import { parse, YAMLParseError } from 'yaml';
@@ -8,7 +8,7 @@
 import { ValidationError } from '../common/errors.js';
 import { parseOrThrow } from '../common/validate.js';
 
-/** Sets `value` at a dotted path, making the objects on the way. */
+/** Sets `value` at a dotted path, creating missing objects. */
 function setAtPath(root: Record<string, unknown>, path: string, value: unknown): void {
   const names = path.split('.');
   const last = names.pop()!;
@@ -26,18 +26,18 @@
   current[last] = value;
 }
 
-/** One `--set path=value` flag; the value is read as YAML. */
-function applyOverride(root: Record<string, unknown>, text: string): void {
-  const separator = text.indexOf('=');
+/** Applies one `--set PATH=VALUE` flag; the value is parsed as YAML. */
+function applyOverride(root: Record<string, unknown>, override: string): void {
+  const separator = override.indexOf('=');
   if (separator <= 0) {
     throw new ValidationError('flags are not valid', {
-      props: { faults: [{ path: '--set', message: `'${text}' must be PATH=VALUE` }] },
+      props: { faults: [{ path: '--set', message: `'${override}' must be PATH=VALUE` }] },
     });
   }
-  setAtPath(root, text.slice(0, separator), parse(text.slice(separator + 1)));
+  setAtPath(root, override.slice(0, separator), parse(override.slice(separator + 1)));
 }
 
-/** Reads a YAML document. @throws ValidationError when it cannot be read or parsed */
+/** Reads a YAML file. @throws ValidationError when it cannot be read or parsed */
 export function readYamlFile(file: string): unknown {
   try {
     return parse(readFileSync(file, 'utf8')) as unknown;
@@ -53,10 +53,10 @@
 }
 
 /**
- * Reads and checks settings.
- * @param file YAML file, or undefined when everything comes from flags
- * @param overrides `PATH=VALUE` texts, applied in order
- * @throws ValidationError naming every fault with its path
+ * Loads and validates settings.
+ * @param file YAML file, or undefined to use flags only
+ * @param overrides `PATH=VALUE` strings, applied in order
+ * @throws ValidationError listing every fault with its path
  */
 export function loadSettings<Settings>(
   schema: z.ZodType<Settings>,
