--- a/src/follower/sync-watch.ts
+++ b/src/follower/sync-watch.ts
@@ -65,7 +65,7 @@
   abortIfStalled({ origin, reply, roundTripMs }: CurrentReply): void {
     const source = this.reportedSources.get(origin);
     if (this.hasMissedHeartbeat) {
-      this.giveUp('the replica had not answered a heartbeat');
+      this.giveUp('a heartbeat to the replica timed out');
       return;
     }
     if (this.expectedSource !== undefined && this.expectedSource !== source) {
@@ -81,7 +81,7 @@
       const isUnderWay = this.abortController === sync;
       const isArriving = this.progress.receivedBytes > receivedBytes;
       if (isUnderWay && !isArriving && this.view.isBehind(revision, endpoints)) {
-        this.giveUp('the replica has news that it did not bring');
+        this.giveUp('the replica reported changes that the sync did not deliver');
       }
     });
   }
