--- a/src/dedup/claim-knowledge.ts
+++ b/src/dedup/claim-knowledge.ts
@@ -1,81 +1,81 @@
 /**
- * For which keys a replica knows every claim that may have been granted in an epoch. It says so for a
- * key only if it has heard from enough of the key's replicas; otherwise a call with that key is
- * refused, because it can't be known whether it ran before. docs/design/at-most-once.md has the proof.
- *
- * Owned by a replica for each epoch; relies on the records that the other replicas send. Pure.
+ * Tracks for which keys a replica knows every claim that may have been granted in an epoch. This holds for a key once
+ * enough of the key's replicas have sent their records. Until then claims of the key are not granted, because its call may
+ * have run before. See docs/design/at-most-once.md for the proof. Pure.
  */
 import type { RecordsReply } from './claim-messages.js';
 import { CLAIM_REPLICAS, claimQuorum, replicasOf, type ClaimMember } from './claim-view.js';
 
-/** How complete a replica's knowledge of an epoch is. */
+/** How a replica obtains the claims of an epoch. */
 export type KnowledgeMode =
-  /** It has been there since the epoch began, or has caught up in full. */
-  | 'whole'
-  /** It lost its memory within the epoch: it needs all other replicas of a key. */
+  /** It knows all of them: it took part from the start of the epoch, or has caught up. */
+  | 'complete'
+  /** It was restarted during the epoch: it needs the records of all other replicas of a key. */
   | 'restart'
-  /** It takes over from the epoch before: it needs a quorum of a key's replicas there. */
+  /** It takes over from the previous epoch: it needs the records of a quorum of a key's replicas in that epoch. */
   | 'transition';
 
 export class ClaimKnowledge {
-  private readonly heard = new Map<string, RecordsReply>();
-  /** Members that passed on all their claims to this replica and have not come back since. */
+  private readonly repliesByMember = new Map<string, RecordsReply>();
+  /** Members that handed over all their claims to this replica and have not pulled records since. */
   readonly handedOver = new Set<string>();
 
   /**
-   * @param members replicas of the epoch that must be heard from: the epoch itself in `restart`, the
-   *   one before in `transition`
-   * @param knowsAsPredecessor whether this process, itself a replica of the epoch before, knew every
-   *   claim of a key there
+   * @param members members to pull records from: those of this epoch in `restart`, those of the previous epoch in
+   *   `transition`
+   * @param knowsAsPredecessor whether this process knew every claim of a key as a replica of the previous epoch
+   * @param wasComplete whether this process knew every claim of the previous epoch
    */
   constructor(
     private mode: KnowledgeMode,
     private readonly selfId: string,
     private readonly members: readonly ClaimMember[],
     private readonly knowsAsPredecessor: (key: string) => boolean,
-    private readonly wasWhole: boolean,
+    private readonly wasComplete: boolean,
   ) {}
 
-  get isWhole(): boolean {
-    return this.mode === 'whole';
+  get isComplete(): boolean {
+    return this.mode === 'complete';
   }
 
-  /** Whether the epoch before has been taken over. */
+  /** Whether the claims of the previous epoch have been taken over. */
   get isSettled(): boolean {
     return this.mode !== 'transition';
   }
 
   get pullMode(): 'restart' | 'transition' | undefined {
-    return this.mode === 'whole' ? undefined : this.mode;
+    return this.mode === 'complete' ? undefined : this.mode;
   }
 
-  /** Members still to be asked, or to be asked again because they lacked something themselves. */
-  get unheard(): string[] {
+  /** Members whose records have not arrived, or were incomplete when they did. */
+  get pendingMemberIds(): string[] {
     const ids = this.members.map((member) => member.id);
-    return ids.filter((id) => id !== this.selfId && this.heard.get(id)?.missing?.length !== 0);
+    return ids.filter(
+      (id) => id !== this.selfId && this.repliesByMember.get(id)?.missing?.length !== 0,
+    );
   }
 
-  /** What this replica may lack, for others; undefined when it may lack any claim. */
+  /** Members whose claims this replica may lack; undefined if it may lack any claim. */
   get missing(): readonly string[] | undefined {
-    if (this.mode === 'whole') return [];
+    if (this.mode === 'complete') return [];
     if (this.mode === 'transition') return undefined;
-    return this.unheard.filter((id) => !this.isCovered(id));
+    return this.pendingMemberIds.filter((id) => !this.isHandedOverToOthers(id));
   }
 
-  /** Time alone has made everything known: every claim that could be missing has run out. */
-  becomeWhole(): void {
-    this.mode = 'whole';
+  /** Called when every claim that could be missing has expired. */
+  markComplete(): void {
+    this.mode = 'complete';
   }
 
   onRecords(memberId: string, reply: RecordsReply): void {
-    this.heard.set(memberId, reply);
-    if (this.mode === 'restart' && this.missing?.length === 0) this.mode = 'whole';
-    if (this.mode === 'transition' && this.hasEnoughPredecessors()) this.mode = 'whole';
+    this.repliesByMember.set(memberId, reply);
+    if (this.mode === 'restart' && this.missing?.length === 0) this.mode = 'complete';
+    if (this.mode === 'transition' && this.hasEnoughPredecessors()) this.mode = 'complete';
   }
 
-  /** Whether every claim of the key that may have been granted is known here. */
+  /** Whether this replica knows every claim of the key that may have been granted. */
   knows(key: string): boolean {
-    if (this.mode === 'whole') return true;
+    if (this.mode === 'complete') return true;
     const replicas = replicasOf(this.members, key);
     const others = replicas.filter((member) => member.id !== this.selfId);
     if (this.mode === 'restart') return others.every(({ id }) => this.isKnown(id, replicas));
@@ -85,37 +85,37 @@
     return known + own >= claimQuorum(replicas.length);
   }
 
-  /** Whether a member's claims of a key with these replicas are known, from itself or another. */
+  /** Whether a member's claims of a key with these replicas were received, from the member or from one it handed them to. */
   private isKnown(id: string, replicas: readonly ClaimMember[]): boolean {
-    const reply = this.heard.get(id);
+    const reply = this.repliesByMember.get(id);
     if (reply !== undefined && knowsKeyOf(id, reply, replicas)) return true;
     return replicas.some((member) => {
-      const other = this.heard.get(member.id);
+      const other = this.repliesByMember.get(member.id);
       return other?.handedOver.includes(id) === true && knowsKeyOf(member.id, other, replicas);
     });
   }
 
-  /** Whether a member passed on its claims to all others, and they said so. */
-  private isCovered(id: string): boolean {
+  /** Whether all other members report that this member handed over its claims to them. */
+  private isHandedOverToOthers(id: string): boolean {
     return this.members.every((member) => {
       if (member.id === id || member.id === this.selfId) return true;
-      return this.heard.get(member.id)?.handedOver.includes(id) === true;
+      return this.repliesByMember.get(member.id)?.handedOver.includes(id) === true;
     });
   }
 
-  /** Whether whatever a key's replicas were, a quorum of them has been heard. */
+  /** Whether complete records have arrived from a quorum of the previous replicas of any possible key. */
   private hasEnoughPredecessors(): boolean {
     const replicas = Math.min(CLAIM_REPLICAS, this.members.length);
-    const mayLack = replicas - claimQuorum(replicas);
+    const maxLacking = replicas - claimQuorum(replicas);
     const lacking = this.members.filter(({ id }) => {
-      if (id === this.selfId) return !this.wasWhole;
-      return this.heard.get(id)?.missing?.length !== 0;
+      if (id === this.selfId) return !this.wasComplete;
+      return this.repliesByMember.get(id)?.missing?.length !== 0;
     });
-    return lacking.length <= mayLack;
+    return lacking.length <= maxLacking;
   }
 }
 
-/** Whether the sender of `reply` knew every claim of a key with these replicas. */
+/** Whether the member `id`, the sender of `reply`, knew every claim of a key with these replicas. */
 function knowsKeyOf(id: string, reply: RecordsReply, replicas: readonly ClaimMember[]): boolean {
   const { missing } = reply;
   if (missing === undefined) return false;
