--- a/src/cli/apply-command.ts
+++ b/src/cli/apply-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor apply`: declares each resource of a file or folder; one answer for each. */
+/** `shoredoor apply`: declares each resource of a file or folder and reports one result for each. */
 import { randomUUID } from 'node:crypto';
 import { UsageError } from '../common/errors.js';
 import type { ResourceClient } from '../client/resource-client.js';
@@ -16,13 +16,11 @@
 import { readDeclarations } from './resource-files.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Options of `apply`. */
 export interface ApplyOptions extends FileOptions {
   readonly dryRun?: boolean;
   readonly changePrefix?: string;
 }
 
-/** `shoredoor apply`. */
 export async function applyDeclarations(options: ApplyOptions): Promise<ExitCode> {
   if (options.file === undefined) throw new UsageError('apply needs -f FILE-OR-FOLDER');
   const declared = readDeclarations(options.file);
@@ -44,7 +42,7 @@
   return exitCodeOf(reports);
 }
 
-/** The version that each resource stands at, so that a change in between is noticed. */
+/** Reads the current version of each resource, to detect concurrent changes. */
 async function readVersions(client: ResourceClient): Promise<Map<string, number>> {
   const { items } = await client.list();
   return new Map(
--- a/src/cli/change-report.ts
+++ b/src/cli/change-report.ts
@@ -1,4 +1,4 @@
-/** What commands that change resources say of each: the result, its exit code, and a row of the table. */
+/** Results of commands that change resources: their output and exit code. */
 import type { ApiAnswer } from '../client/replica-requests.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { printResult, type OutputFormat } from './output.js';
@@ -6,7 +6,7 @@
 
 /** Statuses of the resource API's answers to changes. */
 
-/** The answer for one resource. */
+/** The result for one resource. */
 export interface ChangeReport {
   readonly kind: string;
   readonly name: string;
@@ -15,12 +15,12 @@
   readonly detail: string;
 }
 
-/** The result of a change that did not take effect. */
+/** Returns the result for a change that did not take effect. */
 export function failedResult(status: number): 'conflict' | 'refused' {
   return status === HttpStatus.Conflict ? 'conflict' : 'refused';
 }
 
-/** The revision of a change, or what is wrong with it. */
+/** Returns the revision of a change, or the reason why it was rejected. */
 export function detailOf(answer: ApiAnswer): string {
   const body = answer.body as
     | { revision?: number; detail?: string; faults?: { path: string; message: string }[] }
@@ -30,7 +30,7 @@
   return [body?.detail ?? '', ...faults].filter((text) => text !== '').join('; ');
 }
 
-/** Prints a row for each resource. */
+/** Prints one row for each resource. */
 export function printReports(format: OutputFormat, reports: readonly ChangeReport[]): void {
   printResult(format, reports, () => ({
     columns: ['KIND', 'NAME', 'RESULT', 'DETAIL'],
@@ -38,7 +38,7 @@
   }));
 }
 
-/** The exit code of the worst result. */
+/** Returns the exit code of the worst result. */
 export function exitCodeOf(reports: readonly ChangeReport[]): ExitCode {
   if (reports.some((report) => report.result === 'refused')) return EXIT_CODES.failed;
   if (reports.some((report) => report.result === 'conflict')) return EXIT_CODES.conflict;
--- a/src/cli/command-options.ts
+++ b/src/cli/command-options.ts
@@ -1,7 +1,4 @@
-/**
- * Options that several commands share, and how they are read: from flags, and from the environment where there are none.
- * Owns nothing; relies on the client of the resource API.
- */
+/** Options that several commands share. Flags take precedence over environment variables. */
 import { readFileSync } from 'node:fs';
 import { UsageError } from '../common/errors.js';
 import { ResourceClient } from '../client/resource-client.js';
@@ -19,12 +16,12 @@
   readonly file?: string;
 }
 
-/** Environment variable that stands for `--control`. */
+/** Environment variable used if `--control` is not given. */
 export const CONTROL_VARIABLE = 'SHOREDOOR_CONTROL';
-/** Environment variable that holds the access token where no file does. */
+/** Environment variable with the access token, used if `--token-file` is not given. */
 export const TOKEN_VARIABLE = 'SHOREDOOR_TOKEN';
 
-/** A client for the replicas and the token that options or environment name. */
+/** Creates a client with the replicas and the token from the options or the environment. */
 export function createClient(options: OperatorOptions): ResourceClient {
   const control = options.control ?? process.env[CONTROL_VARIABLE];
   if (control === undefined || control === '') {
@@ -49,7 +46,7 @@
   return token;
 }
 
-/** The output format that options ask for. */
+/** Returns the output format; throws a UsageError if it is unknown. */
 export function readOutputFormat(options: OperatorOptions): OutputFormat {
   const requested = options.output ?? 'table';
   const format = OUTPUT_FORMATS.find((candidate) => candidate === requested);
--- a/src/cli/delete-command.ts
+++ b/src/cli/delete-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor delete`: removes one resource, at one version of it if that is asked for. */
+/** `shoredoor delete`: deletes one resource, optionally only at a given version. */
 import { randomUUID } from 'node:crypto';
 import {
   detailOf,
@@ -12,13 +12,11 @@
 import { parseResourceId } from './resource-id.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Options of `delete`. */
 export interface DeleteOptions extends OperatorOptions {
   readonly ifVersion?: number;
   readonly changeId?: string;
 }
 
-/** `shoredoor delete`. */
 export async function deleteResource(
   kind: string,
   name: string,
--- a/src/cli/diff-command.ts
+++ b/src/cli/diff-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor diff`: compares declarations with the resources that control has accepted, field by field. */
+/** `shoredoor diff`: compares declarations field by field with the resources that control has accepted. */
 import { isDeepStrictEqual } from 'node:util';
 import { UsageError } from '../common/errors.js';
 import { createClient, readOutputFormat, type FileOptions } from './command-options.js';
@@ -6,7 +6,6 @@
 import { printResult } from './output.js';
 import { readDeclarations } from './resource-files.js';
 
-/** `shoredoor diff`. */
 export async function diffDeclarations(options: FileOptions): Promise<ExitCode> {
   if (options.file === undefined) throw new UsageError('diff needs -f FILE-OR-FOLDER');
   const declared = readDeclarations(options.file);
@@ -33,7 +32,7 @@
   return differences.length === 0 ? EXIT_CODES.ok : EXIT_CODES.different;
 }
 
-/** Paths at which two values differ. */
+/** Returns the paths at which two values differ, with both values. */
 function changedPaths(before: unknown, after: unknown, path: string): string[] {
   if (isDeepStrictEqual(before, after)) return [];
   const isObject = (value: unknown): value is Record<string, unknown> =>
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -5,9 +5,9 @@
   failed: 1,
   /** The command line, a settings file or a resource file is not valid. */
   usage: 2,
-  /** A resource stands at another version. */
+  /** The resource has another version than expected. */
   conflict: 3,
-  /** No answer from control: a change may have taken effect. Resend with the same change id. */
+  /** No response from control: a change may have taken effect. Resend it with the same change id. */
   unreachable: 4,
   /** `diff` found differences. */
   different: 5,
--- a/src/cli/get-command.ts
+++ b/src/cli/get-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor get`: shows resources as a table, or one of them as it was declared. */
+/** `shoredoor get`: prints resources as a table, or a single resource as YAML. */
 import { stringify } from 'yaml';
 import type { StoredResource } from '../policy/stored-resource.js';
 import { RESOURCE_KINDS } from '../policy/resource-schema.js';
@@ -7,7 +7,6 @@
 import { printResult } from './output.js';
 import { parseResourceId } from './resource-id.js';
 
-/** `shoredoor get`. */
 export async function getResources(
   kind: string | undefined,
   name: string | undefined,
--- a/src/cli/launch.ts
+++ b/src/cli/launch.ts
@@ -1,21 +1,20 @@
 /**
- * Starts a bundled program with the engine's code cache, which the build writes: compiling the bundle
- * is a third of a start, and a killed process is to be back soon.
+ * Starts a bundled program with a V8 code cache that the build writes, to shorten the start.
  *
  * `node FLAGS launch.cjs BUNDLE ARGUMENTS...` runs the bundle; `node FLAGS launch.cjs --write-cache
- * BUNDLE` loads its modules and writes the cache beside it. A cache of another engine, of other engine
- * flags or of another bundle is passed over by the engine itself (`vm.Script`, `cachedDataRejected`).
+ * BUNDLE` loads its modules and writes the cache beside it. V8 rejects a cache of another version, of other
+ * flags or of another bundle (`vm.Script`, `cachedDataRejected`).
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire, Module } from 'node:module';
 import { dirname, resolve } from 'node:path';
 import { Script } from 'node:vm';
 
-/** What a bundle exports. */
+/** The exports of a bundle. */
 interface Bundle {
-  /** Runs the program that the arguments name. */
+  /** Runs the program named by the arguments. */
   run(args: readonly string[]): Promise<void>;
-  /** Loads the modules of every program and runs none. */
+  /** Loads the modules of all programs without running them. */
   loadAll(): Promise<void>;
 }
 
@@ -27,15 +26,14 @@
   directory: string,
 ) => void;
 
-/** Argument that has the cache written. */
 const WRITE_CACHE = '--write-cache';
 
-/** The cache, where there is one: without it, or if it cannot be read, the bundle is compiled, which is only slower. */
+/** Reads the cache. Without one the bundle is compiled, which is only slower. */
 function readIfPresent(file: string): Buffer | undefined {
   try {
     return readFileSync(file);
   } catch {
-    // Nothing is told: a start without the cache is sound, and a build that writes none would repeat the line at each.
+    // Not logged: the cache is optional, and a build without one would log this at every start.
     return undefined;
   }
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The `shoredoor` command line: finds the command, runs it, and turns its error into a text and an exit code. Owns the exit
- * code of commands of operators; a program that runs on ends by itself (run-program).
+ * The `shoredoor` command line: runs the matched command and reports its error as a message and an exit code. Long-running
+ * programs exit by themselves (run-program.ts).
  */
 import { cac } from 'cac';
 import { RequestError, UsageError, ValidationError } from '../common/errors.js';
@@ -10,7 +10,7 @@
 import { registerProgramCommands } from './program-commands.js';
 import { VERSION } from './version.js';
 
-/** Writes an error for people. @returns the exit code that it stands for */
+/** Writes an error to standard error. @returns the exit code for it */
 function reportError(error: unknown): ExitCode {
   if (error instanceof ValidationError) {
     process.stderr.write(`shoredoor: ${error.message}\n`);
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of operators: their names, options and examples. The work of each stands in a file of its own, which is
- * loaded when the command is given: a command that asks control for one thing starts without the rest.
+ * The operator commands with their options and examples. The implementation of each is imported only when the command runs,
+ * to keep the start short.
  */
 import type { CAC, Command } from 'cac';
 import type { ApplyOptions } from './apply-command.js';
@@ -12,7 +12,7 @@
 
 const FILE_HELP = 'File or folder with declarations (YAML)';
 
-/** Adds the options of commands that talk to control. */
+/** Adds the options of commands that call control. */
 function addControlOptions(command: Command): Command {
   return command
     .option('--control <origins>', 'Control replicas, separated by commas (SHOREDOOR_CONTROL)')
@@ -24,7 +24,7 @@
   process.exitCode = await work;
 }
 
-/** Registers the commands, in the order of the help text. */
+/** Registers the commands in the order of the help text. */
 export function registerOperatorCommands(cli: CAC): void {
   registerApply(cli);
   registerGet(cli);
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,16 +1,16 @@
-/** Writes results to standard output as JSON or as a table for people. Relies on nothing; log lines are not written here. */
+/** Prints command results to standard output as JSON or as a table. */
 
-/** The formats of `--output`. */
+/** Values of `--output`. */
 export const OUTPUT_FORMATS = ['table', 'json'] as const;
 export type OutputFormat = (typeof OUTPUT_FORMATS)[number];
 
-/** A table: a heading for each column, and rows of texts. */
+/** A table with column headings and rows of cells. */
 export interface Table {
   readonly columns: readonly string[];
   readonly rows: readonly (readonly string[])[];
 }
 
-/** Lays out a table with columns of equal width. */
+/** Formats a table, padding the cells of each column to the same width. */
 export function formatTable(table: Table): string {
   const lines = [table.columns, ...table.rows];
   const widths = table.columns.map((_, column) =>
@@ -26,7 +26,7 @@
     .join('\n');
 }
 
-/** Prints `value` as JSON, or the table made from it. */
+/** Prints `value` as JSON, or the result of `table` as text. */
 export function printResult(format: OutputFormat, value: unknown, table: () => Table): void {
   const text = format === 'json' ? JSON.stringify(value, null, 2) : formatTable(table());
   process.stdout.write(`${text}\n`);
--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -1,4 +1,4 @@
-/** The commands `node`, `edge`, `sidecar` and `control`. Each loads only what its program needs: a start is to be short. */
+/** The commands `node`, `edge`, `sidecar` and `control`. Each imports only its own program, to keep the start short. */
 import type { CAC, Command } from 'cac';
 import type { ProgramOptions } from './run-program.js';
 
@@ -10,7 +10,7 @@
   return command.option('--config <file>', CONFIG_HELP).option('--set <path=value>', SET_HELP);
 }
 
-/** Registers the commands, in the order of the help text. */
+/** Registers the commands in the order of the help text. */
 export function registerProgramCommands(cli: CAC): void {
   registerNode(cli);
   registerEdge(cli);
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -1,6 +1,6 @@
 /**
- * Reads declarations from a YAML file (several documents allowed) or from a folder of such files, and checks each alone and
- * against the others. Owns nothing; relies on the schemas of resources.
+ * Reads declarations from a YAML file, which may contain several documents, or from a folder of such files, and validates
+ * each resource alone and against the others.
  */
 import { readdirSync, readFileSync, statSync } from 'node:fs';
 import { join } from 'node:path';
@@ -14,9 +14,9 @@
   type Resource,
 } from '../policy/resource-schema.js';
 
-/** A resource as read from a file, and where it was declared. */
+/** A resource and the file that declares it. */
 export interface LoadedDeclaration {
-  /** File, and the number of the document in it when there are several. */
+  /** Path of the file, with the document number if the file has several documents. */
   readonly source: string;
   readonly resource: Resource;
 }
@@ -28,7 +28,7 @@
   try {
     stats = statSync(path);
   } catch {
-    // Why it cannot be looked at is nearly always that it is not there, and that is what the operator is told.
+    // Other errors than a missing file are rare, so all are reported as one.
     throw new ValidationError('declarations cannot be read', {
       props: { faults: [{ path, message: 'no such file or folder' }] },
     });
@@ -66,9 +66,9 @@
 }
 
 /**
- * Reads and checks every declaration under `path`.
- * @returns resources in the order in which they are applied: services, then policies
- * @throws ValidationError naming every fault of every file
+ * Reads and validates all declarations under `path`.
+ * @returns resources in the order in which they are applied: services before policies
+ * @throws ValidationError with all faults of all files
  */
 export function readDeclarations(path: string): LoadedDeclaration[] {
   const faults: Fault[] = [];
--- a/src/cli/resource-id.ts
+++ b/src/cli/resource-id.ts
@@ -1,12 +1,12 @@
-/** How a command line names a resource: kind and name, the kind in any case of letters. */
+/** Parses resource ids given on the command line. */
 import { UsageError } from '../common/errors.js';
 import { DECLARED_KINDS, type ResourceKind } from '../policy/resource-schema.js';
 import type { ResourceId } from '../policy/stored-resource.js';
 
 /**
- * The id of a resource named on the command line.
- * @param kinds those that the command works on
- * @throws UsageError when it is none of them
+ * Parses the id of a resource; the kind is case-insensitive.
+ * @param kinds kinds that the command supports
+ * @throws UsageError if `kind` is none of them
  */
 export function parseResourceId(
   kind: string,
--- a/src/cli/run-program.ts
+++ b/src/cli/run-program.ts
@@ -1,7 +1,6 @@
 /**
- * Runs a long-running program from its command: reads settings, starts it, says where it listens, and then waits for
- * signals. SIGTERM and SIGINT stop it in order, SIGHUP has it read its settings again. Owns the process's signal handlers
- * and exit code; relies on the program for how it starts and stops.
+ * Runs a long-running program: loads its settings, starts it, prints its origins and handles signals. SIGTERM and SIGINT stop
+ * it gracefully, SIGHUP reloads its settings.
  */
 import type { z } from 'zod';
 import { createLogger, type LogLevel, type Logger } from '../common/logger.js';
@@ -21,7 +20,7 @@
   readonly logLevel: LogLevel;
 }
 
-/** Starts a program. If that fails the process ends: servers that listen already would keep it alive, and useless. */
+/** Starts a program. Exits if the start fails: servers that already listen would keep the process alive otherwise. */
 async function startOrExit<Settings>(
   start: () => Promise<Program<Settings>>,
   logger: Logger,
@@ -34,7 +33,7 @@
   }
 }
 
-/** Loads settings, starts the program, announces its origins, and waits for a signal. */
+/** Loads the settings, starts the program, prints its origins and installs the signal handlers. */
 export async function runProgram<Settings extends CommonSettings>(
   name: string,
   schema: z.ZodType<Settings>,
@@ -49,12 +48,12 @@
   const program = await startOrExit(() => start(settings, logger), logger);
   stopOnSignal(program, logger);
   reloadOnSignal(program, load, logger);
-  // One line among the log lines on standard output tells supervisors which ports were bound. It comes after the
-  // handlers: a supervisor that stops the program on this line would kill it otherwise.
+  // Reports the bound ports to supervisors. Must come after the handlers are installed: a signal sent on this line would
+  // kill the process otherwise.
   process.stdout.write(`${JSON.stringify({ id: settings.id, origins: program.origins })}\n`);
 }
 
-/** A second signal changes nothing: the stop goes on in its own time. */
+/** Stops the program at the first signal; later signals are ignored. */
 function stopOnSignal(program: Pick<Program, 'stop'>, logger: Logger): void {
   let stopping = false;
   const stop = (): void => {
@@ -72,7 +71,7 @@
   process.on('SIGINT', stop);
 }
 
-/** Settings that cannot be read or are not valid change nothing: the program goes on with those that it has. */
+/** Reloads the settings on SIGHUP. If they cannot be read or are invalid, the program keeps its current ones. */
 function reloadOnSignal<Settings>(
   program: Program<Settings>,
   load: () => Settings,
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,9 +1,8 @@
-/** `shoredoor status`: revisions, replication and lagging members, as one replica sees them. */
+/** `shoredoor status`: prints revisions, replication and lagging members as one replica reports them. */
 import { createClient, readOutputFormat, type OperatorOptions } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { printResult } from './output.js';
 
-/** `shoredoor status`. */
 export async function showStatus(options: OperatorOptions): Promise<ExitCode> {
   const report = await createClient(options).status();
   const { replication } = report;
--- a/src/cli/validate-command.ts
+++ b/src/cli/validate-command.ts
@@ -1,10 +1,9 @@
-/** `shoredoor validate`: checks declarations without asking control. */
+/** `shoredoor validate`: validates declarations without calling control. */
 import { UsageError } from '../common/errors.js';
 import type { FileOptions } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { readDeclarations } from './resource-files.js';
 
-/** `shoredoor validate`. */
 export function validateDeclarations(options: FileOptions): ExitCode {
   if (options.file === undefined) throw new UsageError('validate needs -f FILE-OR-FOLDER');
   const declared = readDeclarations(options.file);
--- a/src/cli/watch-command.ts
+++ b/src/cli/watch-command.ts
@@ -1,14 +1,12 @@
-/** `shoredoor watch`: prints each change, and the revision in force, until it is ended or changes were lost. */
+/** `shoredoor watch`: prints changes and the in-force revision until it is interrupted or has missed changes. */
 import type { WatchEvent } from '../sync/watch-event.js';
 import { createClient, readOutputFormat, type OperatorOptions } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** Options of `watch`. */
 export interface WatchOptions extends OperatorOptions {
   readonly from?: number;
 }
 
-/** `shoredoor watch`. */
 export async function watchChanges(options: WatchOptions): Promise<ExitCode> {
   const client = createClient(options);
   const format = readOutputFormat(options);
--- a/src/programs/control-parts.ts
+++ b/src/programs/control-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of a control replica, built in one place: the store and its log, what is known of members, the keepers that a
- * leader runs, and the APIs. Owns nothing itself; the program keeps what is built here until it ends.
+ * Creates the parts of a control replica: the resource store and its replicated log, the member table, the periodic checks
+ * and the HTTP APIs.
  */
 import { SystemClock, type Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
@@ -30,9 +30,9 @@
 import { createReplicaHost } from './control-replica.js';
 import type { RequestHandlers } from './control-routes.js';
 
-/** What a deployment may have in its own way. */
+/** Deployment-specific options of a control replica. */
 export interface ControlOptions {
-  /** Layout of declared sets. */
+  /** Translates between the body of the declarations API and the declared set. */
   readonly declarationCodec: DeclarationCodec;
 }
 
@@ -40,37 +40,36 @@
   declarationCodec: PLAIN_DECLARATION_CODEC,
 };
 
-/** The replica: its store, the log that orders changes, and what it knows of members from their heartbeats. */
+/** The replicated store, and the members known from their heartbeats. */
 interface StoreParts {
   readonly settings: ControlSettings;
   readonly logger: Logger;
   readonly clock: Clock;
   readonly store: ResourceStore;
   readonly members: MemberTable;
-  /** Wakes the syncs and watches that wait for news. */
+  /** Wakes pending syncs and watches after a change. */
   readonly notifier: ChangeNotifier;
   readonly host: ReplicaHost;
   readonly log: ReplicatedCommandLog;
-  /** Which requests crash targets, as followers tell. */
+  /** Requests that crash targets, as reported by followers. */
   readonly evidence: CrashEvidence;
 }
 
-/** What looks at the store from time to time, and changes it where this replica leads. */
+/** Parts that run periodically; those that write to the store do so on the leader only. */
 interface PeriodicParts {
   readonly claimViews: ClaimViewKeeper;
   readonly quarantines: QuarantineKeeper;
   readonly leadership: LeadershipLog;
-  /** Undefined where settings name no list. */
+  /** Undefined if the settings have no `platformList`. */
   readonly platformList: PlatformListReader | undefined;
 }
 
-/** All parts of a control replica. */
 export interface ControlParts extends StoreParts, PeriodicParts {
   readonly watches: WatchStreams;
   readonly handlers: RequestHandlers;
 }
 
-/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+/** Creates the parts without starting them. */
 export function createControlParts(
   settings: ControlSettings,
   logger: Logger,
@@ -129,7 +128,7 @@
 
 function createFollowerApi(parts: StoreParts): FollowerApi {
   const { settings, clock, store, members, notifier, log, evidence } = parts;
-  // Followers know by it whether the list of endpoints that they hold is from this start of the replica.
+  // Identifies this run of the replica: endpoint versions of different runs are not comparable.
   const source = `${settings.id}@${Date.now()}`;
   return new FollowerApi({
     clock,
@@ -178,12 +177,12 @@
   return () => buildStatusReport(settings.id, log.status(), store.revision, members.list());
 }
 
-/** Milliseconds since 1970. */
+/** Milliseconds since the Unix epoch. */
 function wallClock(): number {
   return Date.now();
 }
 
-/** Since when no grant is unknown here: at the first start of a deployment none has been given. */
+/** Time from which all quota grants are known here. A replica that bootstraps the deployment has no earlier grants. */
 function grantsKnownSince({ bootstrap }: ControlSettings, now: number): number {
   return bootstrap ? -Infinity : now;
 }
--- a/src/programs/control-program.ts
+++ b/src/programs/control-program.ts
@@ -1,8 +1,6 @@
 /**
- * `shoredoor control`: one replica of the store that holds the configuration, and the API of operators and followers. Reads
- * top to bottom as its start, its periodic checks and its stop. Owns the data folder on disk (log, snapshot, identity);
- * members and their reports it has in memory alone and learns them anew from heartbeats. Relies on a majority of the
- * voters for every change.
+ * `shoredoor control`: one replica of the configuration store, with the APIs for operators and followers. The store is
+ * persisted in the data folder; members are kept in memory only and are rebuilt from heartbeats after a restart.
  */
 import type { Logger } from '../common/logger.js';
 import { ListeningServer } from '../http/listening-server.js';
@@ -18,21 +16,20 @@
 import { handlerFor } from './control-routes.js';
 import { delay, within, type Program } from './program.js';
 
-/** Milliseconds between two looks for members whose lease has ended: a twentieth of the default lease. */
+/** Interval of the check for expired member leases, in milliseconds. */
 const EXPIRE_INTERVAL_MS = 500;
 /**
- * Milliseconds. Part of the 3 s from the third crash under a request until all processes keep it from targets; shorter
- * than an election, so that each leader has its line.
+ * Interval of the checks that a leader runs, in milliseconds. It adds to the delay until a request that crashes targets is
+ * quarantined, and is shorter than an election, so that every change of leader is logged.
  */
 const LEADER_CHECK_INTERVAL_MS = 100;
-/** Milliseconds. A replica that stops answers this long, so that clients are told to ask another. */
+/** Time for which a stopping replica still answers, in milliseconds, so that clients are redirected to another replica. */
 const STOP_LINGER_MS = 200;
-/** Longest time for connections to end after that, in milliseconds. */
+/** Maximum time for connections to close after that, in milliseconds. */
 const STOP_TIMEOUT_MS = 1_000;
 
-/** The servers of a control replica. */
 interface ControlServers {
-  /** Operators, followers and other replicas. */
+  /** Serves operators, followers and other replicas. */
   readonly listen: ListeningServer;
   readonly admin: ListeningServer;
 }
@@ -44,7 +41,7 @@
   options: ControlOptions = DEFAULT_CONTROL_OPTIONS,
 ): Promise<Program> {
   const parts = createControlParts(settings, logger, options);
-  // Servers first: the other replicas answer to this one as soon as it takes part.
+  // The servers must listen before the replica starts: other replicas send to it as soon as it participates.
   const servers = await startServers(parts);
   const { listen, admin } = servers;
   const timers = startChecks(parts);
@@ -80,7 +77,7 @@
   return { listen, admin };
 }
 
-/** What no message starts: members that fell silent, and what a leader has to see to. */
+/** Starts the timers of the member expiry and of the leader's checks. */
 function startChecks(parts: ControlParts): readonly NodeJS.Timeout[] {
   const { log, leadership, quarantines } = parts;
   return [
@@ -100,8 +97,8 @@
 }
 
 /**
- * Checks end first, as they would write to the log; then streams and the log, so that nothing more is acknowledged; then
- * clients are told for a while to ask another replica; connections go last.
+ * Stops in an order in which no acknowledged change is lost: first the periodic checks, which write to the log, then the
+ * watch streams and the log. Clients are redirected to another replica for a short time before connections are closed.
  */
 async function stopControl(
   { platformList, watches, log, logger }: ControlParts,
--- a/src/programs/control-replica.ts
+++ b/src/programs/control-replica.ts
@@ -1,7 +1,4 @@
-/**
- * The replicated store's own process within a control replica: which replica this is, with whom it forms the store, where
- * its data folder and its transport are. Owns the files under `dataDir`; relies on the other replicas for a majority.
- */
+/** Creates the consensus replica of a control process from its settings: identity, peers, data folder and transport. */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
@@ -15,7 +12,7 @@
 import type { ControlSettings } from '../settings/control-settings.js';
 import { processRandom } from './process-random.js';
 
-/** Builds the replica. It takes no part before it is started. */
+/** Creates the replica without starting it. */
 export function createReplicaHost(
   settings: ControlSettings,
   clock: Clock,
@@ -42,7 +39,7 @@
   });
 }
 
-/** How a replica is named and reached, and whom it forms the store with or joins through. */
+/** Name, origin and role of a replica, and the peers with which it forms or joins the cluster. */
 type ReplicaTopology = Pick<ReplicaHostOptions, 'name' | 'origin' | 'role' | 'contacts' | 'join'>;
 
 function topologyOf(settings: ControlSettings): ReplicaTopology {
--- a/src/programs/edge-program.ts
+++ b/src/programs/edge-program.ts
@@ -1,7 +1,6 @@
 /**
- * `shoredoor edge`: takes calls from outside in one zone. Reads top to bottom as its parts, its start and its stop. Owns its
- * connections to nodes, its counters and its copy of the configuration, all in memory; relies on control for policy and
- * endpoints.
+ * `shoredoor edge`: accepts external calls in one zone and forwards them to nodes. Gets its policy and
+ * endpoints from control and keeps all state in memory.
  */
 import { CallStats } from '../call/call-stats.js';
 import { EdgeServer } from '../edge/edge-server.js';
@@ -28,10 +27,9 @@
 import { processRandom } from './process-random.js';
 import { delay, within, type Program } from './program.js';
 
-/** Connections that an edge opens to one node. */
+/** Maximum connections to one node. */
 const CONNECTIONS_PER_NODE = 256;
 
-/** What an edge is made of. */
 interface EdgeParts extends ProcessContext {
   readonly settings: EdgeSettings;
   readonly stats: CallStats;
@@ -41,7 +39,6 @@
   readonly follower: Follower;
 }
 
-/** The servers of an edge. */
 interface EdgeServers {
   readonly listen: ListeningServer;
   readonly admin: ListeningServer;
@@ -51,7 +48,7 @@
 export async function startEdge(settings: EdgeSettings, logger: Logger): Promise<Program> {
   const parts = createParts(settings, logger);
   const servers = await startServers(parts);
-  // The follower last: until it has brought a policy every call is refused, and /readyz says so.
+  // Until the follower has received a policy, every call is refused and /readyz reports not ready.
   parts.follower.start();
   const { listen, admin } = servers;
   logger.info('Listening.', { origin: listen.origin, admin: admin.origin });
@@ -132,7 +129,10 @@
   });
 }
 
-/** Unready for a while with calls taken as before, so that callers notice; then what is under way ends, then connections. */
+/**
+ * Reports not ready while it still accepts calls, so that callers can move to another edge; then waits for calls in flight
+ * and closes connections.
+ */
 async function stopEdge(parts: EdgeParts, { listen, admin }: EdgeServers): Promise<void> {
   const { settings, logger, stats, stop, follower, pools } = parts;
   const times = stopTimes(settings.stop);
--- a/src/programs/following-process.ts
+++ b/src/programs/following-process.ts
@@ -1,7 +1,6 @@
 /**
- * What edge, node and sidecar have in common: each follows control, calls the endpoints that control lists, and is ready
- * once it has a configuration. One copy for all three. Owns nothing: it builds the follower and the directory that their
- * program owns. Relies on the settings that all three share.
+ * Setup shared by edge, node and sidecar: each follows control, calls the endpoints that control lists, and is ready once it
+ * has a configuration.
  */
 import type { Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
@@ -15,7 +14,7 @@
 import { ServiceDirectory } from '../routing/service-directory.js';
 import type { FollowerSettings } from '../settings/shared-settings.js';
 
-/** What such a process has from its start. */
+/** Dependencies that exist before the follower is created. */
 export interface ProcessContext {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -23,25 +22,25 @@
   readonly logger: Logger;
 }
 
-/** What differs between the programs. */
+/** Follower options that differ between the programs. */
 export type ProgramFollowerOptions = Omit<
   FollowerOptions,
   'clock' | 'random' | 'client' | 'controlOrigins' | 'logger'
 >;
 
-/** Connections to other processes, by origin. */
+/** Connection pools by origin. */
 interface Connections {
-  /** Ends those to all other origins. */
+  /** Closes the connections to all origins that are not in `origins`. */
   retain(origins: ReadonlySet<string>): void;
 }
 
-/** Where /readyz gives its reason in the words that each program has had from its beginning. */
+/** Details in the response of /readyz; they differ between the programs. */
 interface ReadinessDetails {
   readonly leaving: string;
   readonly unconfigured: string;
 }
 
-/** The link to control. It is silent until it is started. */
+/** Creates the follower, which connects to control once it is started. */
 export function createProcessFollower(
   { clock, random, settings, logger }: ProcessContext,
   options: ProgramFollowerOptions,
@@ -57,8 +56,8 @@
 }
 
 /**
- * The endpoints that this process may call.
- * @param slowStartMs of a service: time over which a new endpoint takes up its load
+ * Creates the directory of the endpoints that this process may call.
+ * @param slowStartMs returns the slow start duration of a service in milliseconds
  */
 export function createDirectory(
   { clock, random, settings }: ProcessContext,
@@ -68,7 +67,7 @@
   return new ServiceDirectory({ clock, random, callerId, callerZone, slowStartMs });
 }
 
-/** A new list of endpoints is in force: those that are not on it are called no more. */
+/** Updates the directory with a new endpoint list and closes connections to endpoints that are no longer listed. */
 export function applyEndpoints(
   view: ConfigurationView,
   directory: ServiceDirectory,
@@ -78,7 +77,7 @@
   connections.retain(directory.origins());
 }
 
-/** The answer of /readyz: not while the process leaves, and not before it has a configuration. */
+/** Readiness for /readyz: not ready while the process is leaving or has no configuration. */
 export function followerReadiness(
   isLeaving: boolean,
   { view }: Pick<Follower, 'view'>,
@@ -89,12 +88,12 @@
   return { ready: true, detail: 'ready' };
 }
 
-/** The configuration in force, or an empty one before the first. */
+/** Returns the current policy table, or an empty one before the first configuration. */
 export function tableOf({ view }: Pick<Follower, 'view'>): PolicyTable {
   return view.table ?? EMPTY_POLICY_TABLE;
 }
 
-/** Bounds on the bodies of requests, where settings give the longest. */
+/** Limits for request bodies, with the maximum size taken from the settings. */
 export function bodyLimitsOf({ limits }: FollowerSettings): BodyLimits {
   return { ...DEFAULT_BODY_LIMITS, maxBytes: limits.maxBodyBytes };
 }
--- a/src/programs/node-parts.ts
+++ b/src/programs/node-parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a node, built in one place, and what a new configuration or a new list of endpoints changes in them. Some
- * parts know each other both ways (the follower announces the claims' epoch, and brings the claims' view), so these get
- * `later`, to be called once all are built. Owns nothing itself; the program keeps what is built here until it ends.
+ * Creates the parts of a node and applies new configurations and endpoint lists to them. Some parts depend on each other
+ * (the follower announces the claim epoch and receives the claim view), so factories get a `getParts` function, which may be
+ * called only after all parts are created.
  */
 import { AdaptiveLimiter } from '../admission/adaptive-limiter.js';
 import { AdmissionController } from '../admission/admission-controller.js';
@@ -29,61 +29,59 @@
 } from './following-process.js';
 import { processRandom } from './process-random.js';
 
-/** Connections that a node opens to one node of another service. */
+/** Maximum connections to one node of another service. */
 const CONNECTIONS_PER_NODE = 128;
 
-/** Why a node takes no new calls; any one of these is enough. */
+/** Reasons for which a node takes no new calls. It is leaving if at least one of them holds. */
 export class LeavingState {
   isStopping = false;
-  /** The platform says that this machine leaves. */
-  isRemoved = false;
-  /** A newer process has this one's id. */
+  /** Control lists this node as leaving. */
+  isListedAsLeaving = false;
+  /** A newer process uses the same id. */
   isSuperseded = false;
 
   get isLeaving(): boolean {
-    return this.isStopping || this.isRemoved || this.isSuperseded;
+    return this.isStopping || this.isListedAsLeaving || this.isSuperseded;
   }
 }
 
-/** The node itself. */
 interface NodeBase extends ProcessContext {
   readonly settings: NodeSettings;
-  /** Wall-clock milliseconds at which the process started. */
+  /** Wall-clock time at which the process started, in milliseconds. */
   readonly incarnation: number;
   readonly leavingState: LeavingState;
 }
 
-/** The gate before the target. */
+/** Admission control in front of the target. */
 interface GateParts {
   readonly limiter: AdaptiveLimiter;
   readonly admission: AdmissionController;
   readonly targetPool: TargetPool;
 }
 
-/** The claims of idempotency keys: those that this node keeps for its service, and those that it asks for. */
+/** Claims of idempotency keys: the replica that this node hosts for its service, and the client that requests claims. */
 interface ClaimParts {
   readonly claimReplica: ClaimReplica;
   readonly claims: QuorumClaims;
 }
 
-/** All parts of a node. */
 export interface NodeParts extends NodeBase, GateParts, ClaimParts {
   readonly inboundStats: CallStats;
   readonly outboundStats: CallStats;
-  /** Calls under way at the target, by which its own calls are known. */
+  /** Calls in flight at the target, used to match the target's own calls to them. */
   readonly registry: InboundRegistry;
   /** Connections to other nodes. */
   readonly pools: ConnectionPools;
   readonly directory: ServiceDirectory;
   readonly follower: Follower;
-  /** Origin that others reach the inbound side under; empty until that listens, where settings name none. */
+  /** Origin announced for the inbound server; empty until it listens, unless the settings have one. */
   advertised: string;
 }
 
-/** Gives all parts, once they are built. */
+/** Returns all parts; may be called only after they are created. */
 type PartsGetter = () => NodeParts;
 
-/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+/** Creates the parts without starting them. */
 export function createNodeParts(settings: NodeSettings, logger: Logger): NodeParts {
   const getParts: PartsGetter = () => parts;
   const base: NodeBase = {
@@ -172,12 +170,12 @@
   });
 }
 
-/** What the configuration in force says of the service of this node. */
+/** Returns the current specification of this node's service. */
 function specOf({ settings, follower }: NodeParts): ServiceSpec {
   return tableOf(follower).serviceSpec(settings.service);
 }
 
-/** The limit may have risen, so calls that wait are looked at last. */
+/** Dispatches queued calls last, as the concurrency limit may have been raised. */
 function applyConfiguration(parts: NodeParts, view: ConfigurationView): void {
   const { settings, claimReplica, limiter, targetPool, admission } = parts;
   const claimView = view.resource({ kind: 'ClaimView', name: settings.service });
@@ -191,6 +189,6 @@
 function applyNodeEndpoints(parts: NodeParts, view: ConfigurationView): void {
   const { settings, incarnation, leavingState, directory, pools } = parts;
   const own = view.endpoint(settings.id);
-  leavingState.isRemoved = own?.incarnation === incarnation && own.state === 'leaving';
+  leavingState.isListedAsLeaving = own?.incarnation === incarnation && own.state === 'leaving';
   applyEndpoints(view, directory, pools);
 }
--- a/src/programs/node-program.ts
+++ b/src/programs/node-program.ts
@@ -1,8 +1,6 @@
 /**
- * `shoredoor node`: stands beside one target, takes calls for it and sends its own calls. Reads top to bottom as its start,
- * its servers and its stop; its parts stand in node-parts. Owns its limiter, its connections and the claims that it keeps
- * for its service, all in memory; relies on control for policy, endpoints and the claim view, and on other nodes for a
- * majority of claims.
+ * `shoredoor node`: runs beside one target, admits calls to it and forwards the calls that it makes. Gets its policy,
+ * endpoints and claim view from control and keeps all state in memory.
  */
 import { allIdle } from '../call/call-stats.js';
 import type { Logger } from '../common/logger.js';
@@ -17,14 +15,13 @@
 import { createNodeParts, type NodeParts } from './node-parts.js';
 import { delay, within, type Program } from './program.js';
 
-/** Milliseconds. A leaving node keeps refusing this long, so that callers with an old list are told. */
+/** Minimum time for which a leaving node refuses calls, in milliseconds, for callers with an outdated endpoint list. */
 const LEAVING_LINGER_MS = 3_000;
 
-/** The servers of a node. */
 interface NodeServers {
-  /** Where edges and other nodes call. */
+  /** Accepts calls from edges and other nodes. */
   readonly inbound: ListeningServer;
-  /** Where the target sends its own calls. */
+  /** Accepts the calls that the target makes. */
   readonly outbound: ListeningServer;
   readonly admin: ListeningServer;
 }
@@ -32,7 +29,7 @@
 /** Starts a node. */
 export async function startNode(settings: NodeSettings, logger: Logger): Promise<Program> {
   const parts = createNodeParts(settings, logger);
-  // Servers first: control lists this node under the address that the inbound one took.
+  // The inbound server must listen before the follower starts, which announces its address.
   const servers = await startServers(parts);
   const { inbound, outbound, admin } = servers;
   parts.advertised = settings.advertise ?? inbound.origin;
@@ -88,8 +85,8 @@
 }
 
 /**
- * Says that it leaves and passes on its claims, as others decide for its keys from then on; refuses for a while, so that
- * callers with an old list are told; finishes what is under way; then ends its connections.
+ * Announces that the node leaves and hands over its claims, refuses new calls until callers have updated their endpoint
+ * lists, waits for calls in flight, then closes connections.
  */
 async function stopNode(parts: NodeParts, servers: NodeServers): Promise<void> {
   const { settings, logger, leavingState, follower, claimReplica, inboundStats, outboundStats } =
--- a/src/programs/process-random.ts
+++ b/src/programs/process-random.ts
@@ -1,13 +1,13 @@
-/** The random source of a process. Owns nothing; relies on the random numbers of the operating system. */
+/** The random source of a process. */
 import { randomInt } from 'node:crypto';
 import { SeededRandom } from '../common/random.js';
 
-/** Seeds are 32-bit numbers. */
+/** Seeds are 32-bit unsigned integers. */
 const SEED_BOUND = 2 ** 32;
 
 /**
- * A source with a seed from the system. Not from time and process id: those of processes that start
- * together differ in a few bits, their sources begin with the same numbers, and all choose alike.
+ * Creates a random source with a cryptographically random seed. Seeds from time and process id differ in only a few bits
+ * between processes that start together, which would then make the same first choices.
  */
 export function processRandom(): SeededRandom {
   return new SeededRandom(randomInt(SEED_BOUND));
--- a/src/programs/program.ts
+++ b/src/programs/program.ts
@@ -1,15 +1,12 @@
-/**
- * What every long-running program shares: how it is started and stopped. A program's file has one `start` function that
- * resolves once all its servers listen, and gives the program back. Owns nothing; times here are those of real timers.
- */
+/** The interface of long-running programs, and helpers for their stop. */
 
-/** A running program. */
+/** A running program, as returned by its `start` function once all its servers listen. */
 export interface Program<Settings = never> {
-  /** Origins that the program listens on, by name, for logs and for the lab. */
+  /** Origins that the program listens on, by server name. */
   readonly origins: Readonly<Record<string, string>>;
-  /** Planned stop: takes no new work, finishes what is under way, then resolves. */
+  /** Graceful stop: accepts no new work, waits for work in flight, then resolves. */
   stop(): Promise<void>;
-  /** Adopts what can change in the settings of a running program. */
+  /** Applies the settings that can change while the program runs. */
   reload?(settings: Settings): void;
 }
 
@@ -18,7 +15,7 @@
   await new Promise<void>((resolve) => setTimeout(resolve, delayMs));
 }
 
-/** Resolves with `work`, or after `timeoutMs` if that comes first. @returns whether work finished */
+/** Waits for `work`, at most `timeoutMs` milliseconds. @returns whether `work` finished in time */
 export async function within(work: Promise<void>, timeoutMs: number): Promise<boolean> {
   let timer: NodeJS.Timeout | undefined;
   const timeout = new Promise<boolean>((resolve) => {
--- a/src/programs/sidecar-gate.ts
+++ b/src/programs/sidecar-gate.ts
@@ -1,7 +1,4 @@
-/**
- * Builds the gate of a sidecar, which takes calls of other machines for its target. Owns what only the gate keeps: how long
- * calls took, and which kinds of request hold its target up. Relies on the parts of the sidecar.
- */
+/** Creates the gate of a sidecar. */
 import { KindImpact } from '../admission/kind-impact.js';
 import { KindLimiter } from '../admission/kind-limiter.js';
 import { RunOutcomes } from '../admission/run-outcomes.js';
@@ -13,7 +10,7 @@
 import { callingPart } from '../routing/subset.js';
 import type { SidecarParts } from './sidecar-parts.js';
 
-/** Takes calls of other machines for the target. */
+/** Creates the gate, which admits calls from other machines to the target. */
 export function createGate(parts: SidecarParts): GateServer {
   const { clock, admission, lease, journal, stopProgress, settings, headers } = parts;
   const { queueLevels, downstream, retryBudget, repeatedRuns, crashGuard, instancePool } = parts;
--- a/src/programs/sidecar-ingress.ts
+++ b/src/programs/sidecar-ingress.ts
@@ -1,7 +1,4 @@
-/**
- * Builds the ingress of a sidecar, which takes requests of the clients and of the target on its machine. Owns what only the
- * ingress keeps: who makes the calls of each route. Relies on the parts of the sidecar.
- */
+/** Creates the ingress of a sidecar. */
 import { DEFAULT_BODY_LIMITS } from '../http/request-body.js';
 import { IngressServer } from '../ingress/ingress-server.js';
 import { replacedHeaders } from '../link/peer-transport.js';
@@ -12,12 +9,12 @@
 import type { SidecarParts } from './sidecar-parts.js';
 
 /**
- * Part of the time within which a revocation takes effect that the proof of a configuration may be old; the rest is for
- * clocks that differ and for the way of a request through this process.
+ * Maximum age of the proof that the configuration is current, as a fraction of the revocation time. The rest covers clock
+ * differences and the time that a request spends in this process.
  */
 const PROOF_AGE_FRACTION = 0.9;
 
-/** Takes requests of the clients and of the target on this machine. */
+/** Creates the ingress, which accepts requests from clients and from the target on this machine. */
 export function createIngress(parts: SidecarParts): IngressServer {
   const { clock, random, directory, links, settings, split, journal, headers } = parts;
   const { downstream, retryBudget, repeatedRuns, crashGuard, quota, follower } = parts;
@@ -54,7 +51,7 @@
   });
 }
 
-/** Without a bound on how long a key that was taken away may run, any configuration will do. */
+/** Without a configured revocation time, a configuration of any age is accepted. */
 function maxProofAgeMs({ revocation }: SidecarSettings): number {
   return revocation === undefined ? Infinity : revocation.withinMs * PROOF_AGE_FRACTION;
 }
--- a/src/programs/sidecar-parts.ts
+++ b/src/programs/sidecar-parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a sidecar, built in one place by a factory for each group of them. Some parts know each other both ways
- * (the lease tells the follower of a change, the follower announces the lease's target), so a factory gets `parts`, to be
- * called once all are built. Owns nothing itself; the program keeps what is built here until it ends.
+ * Creates the parts of a sidecar, with one factory for each group. Some parts depend on each other (the lease notifies the
+ * follower, the follower announces the target of the lease), so factories get a `getParts` function, which may be called
+ * only after all parts are created.
  */
 import { AdmissionController } from '../admission/admission-controller.js';
 import { CongestionLevel } from '../admission/congestion-level.js';
@@ -38,33 +38,32 @@
 import { processRandom } from './process-random.js';
 import { SidecarTarget } from './sidecar-target.js';
 
-/** What is given to a sidecar. */
 export interface SidecarInputs {
   readonly settings: SidecarSettings;
   readonly logger: Logger;
-  /** Names of the headers that its target reads and writes. */
+  /** Names of the headers that the target reads and writes. */
   readonly headers: TargetHeaders;
-  /** A configuration is in force. */
+  /** Called when a configuration takes effect. */
   readonly onConfiguration: (view: ConfigurationView) => void;
 }
 
-/** The process itself: its time, its random source, its start and how far its stop has come. */
+/** Clock, random source, start time and stop progress of the process. */
 interface ProcessParts extends SidecarInputs {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Wall-clock milliseconds. */
+  /** Wall-clock time, in milliseconds. */
   readonly startedAt: number;
   readonly stopProgress: StopProgress;
 }
 
-/** What is counted and written down of calls. */
+/** Call counters and the request log. */
 interface ObservabilityParts {
   readonly inboundStats: CallStats;
   readonly outboundStats: CallStats;
   readonly journal: RequestJournal;
 }
 
-/** The target of this machine: which process it is, how it is reached, and which requests it crashes under. */
+/** The target on this machine: its identity, its connections and the requests that crash it. */
 interface TargetParts {
   readonly lease: TargetLease;
   readonly target: SidecarTarget;
@@ -72,16 +71,16 @@
   readonly crashGuard: CrashGuard;
 }
 
-/** The gate before the target: how many calls are let in, in which order, and how many of them may be repeats. */
+/** Admission control in front of the target: concurrency, queue order and the retry budget. */
 interface GateParts {
   readonly limiter: SlotLimiter;
   readonly admission: AdmissionController;
-  /** Of the calls that wait for the target, by importance. */
+  /** Congestion of the queue in front of the target, indexed by importance. */
   readonly queueLevels: readonly CongestionLevel[];
   readonly retryBudget: ServiceRetryBudget;
 }
 
-/** The ingress of this machine: where requests go, and how many of a group may run. */
+/** Routing of requests and the quota of each group. */
 interface IngressParts {
   readonly split: WeightedSplit;
   readonly directory: ServiceDirectory;
@@ -89,21 +88,20 @@
   readonly quota: IngressQuota;
 }
 
-/** What the gate and the ingress tell each other, as the target's own calls go out through the ingress. */
+/** State shared by gate and ingress: the calls that the target makes leave through the ingress. */
 interface GateAndIngressParts {
-  /** Of the calls that the target makes. */
+  /** Congestion of the calls that the target makes. */
   readonly downstream: CongestionLevel;
   readonly repeatedRuns: RepeatedRuns;
 }
 
-/** The link to control, and with it the configuration in force. */
+/** The connection to control and the current configuration. */
 interface ControlLinkParts {
   readonly follower: Follower;
-  /** Origin that others reach the inbound side under; empty until that listens. */
+  /** Origin announced for the inbound server; empty until it listens. */
   advertised: string;
 }
 
-/** All parts of a sidecar. */
 export interface SidecarParts
   extends
     ProcessParts,
@@ -114,10 +112,10 @@
     GateAndIngressParts,
     ControlLinkParts {}
 
-/** Gives all parts, once they are built. */
+/** Returns all parts; may be called only after they are created. */
 type PartsGetter = () => SidecarParts;
 
-/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+/** Creates the parts without starting them. */
 export function createSidecarParts(inputs: SidecarInputs): SidecarParts {
   const getParts: PartsGetter = () => parts;
   const clock = new SystemClock();
@@ -186,7 +184,7 @@
   };
 }
 
-/** Gates that share the budget on repeats at the target's service, this one included. */
+/** Number of gates that share the retry budget of the target's service, including this one. */
 function gateCountOf({ directory, lease }: SidecarParts): number {
   return directory.machines.get(lease.current?.service ?? '') ?? 1;
 }
@@ -195,7 +193,7 @@
   const { clock, random, settings, startedAt } = base;
   return {
     split: new WeightedSplit(random),
-    // A target that is slow at its start fills up, and so is chosen less.
+    // No slow start: the router already prefers less loaded targets, so a cold one gets fewer calls.
     directory: createDirectory(base, () => 0),
     links: new LinkPool(settings.linkToken),
     quota: new IngressQuota({
@@ -223,7 +221,7 @@
   return { follower, advertised: '' };
 }
 
-/** What control is told at each heartbeat. */
+/** Heartbeat fields that identify this process and its target. */
 function identityOf(parts: SidecarParts): Omit<Heartbeat, 'state' | 'appliedRevision'> {
   const { settings, target, lease, advertised, crashGuard, quota } = parts;
   return {
@@ -231,7 +229,7 @@
     role: 'node',
     incarnation: target.incarnation,
     zone: settings.zone,
-    // Without a target the last one's, or its endpoint would stay listed as it was.
+    // Without a target, report the service of the last one: otherwise its endpoint would stay listed unchanged.
     service: lease.current?.service ?? (target.announcedService || undefined),
     origin: advertised,
     claimEpoch: 0,
--- a/src/programs/sidecar-program.ts
+++ b/src/programs/sidecar-program.ts
@@ -1,7 +1,6 @@
 /**
- * `shoredoor sidecar`: the node beside one target that is also the ingress of its machine. Reads top to bottom as how a
- * sidecar starts, reloads and stops. Owns all its parts (sidecar-parts) and servers (sidecar-servers); keeps nothing on
- * disk. Relies on control for its configuration and on its target for reports of itself.
+ * `shoredoor sidecar`: the node beside one target that is also the ingress of its machine. Gets its configuration from
+ * control and reports from its target; stores nothing on disk.
  */
 import type { ConfigurationView } from '../follower/configuration-view.js';
 import { DEFAULT_TARGET_HEADERS, type TargetHeaders } from '../http/target-headers.js';
@@ -13,7 +12,7 @@
 import { startSidecarServers, type SidecarServers } from './sidecar-servers.js';
 import { SidecarStop } from './sidecar-stop.js';
 
-/** What a deployment may have in its own way. */
+/** Deployment-specific options of a sidecar. */
 export interface SidecarOptions {
   readonly headers: TargetHeaders;
 }
@@ -41,14 +40,14 @@
   async start(): Promise<Program<SidecarSettings>> {
     const { parts } = this;
     const { settings, follower, target, logger } = parts;
-    // Servers first: control lists this process under the address that the inbound one took.
+    // The inbound server must listen before the follower starts, which announces its address.
     const servers = await startSidecarServers(parts);
     this.servers = servers;
     const { inbound, outbound, registration, admin } = servers;
     parts.advertised = settings.advertise ?? inbound.origin;
-    // Then the follower: the configuration that it brings sets timeouts of a server.
+    // The first configuration sets timeouts of the outbound server, which must exist by then.
     follower.start();
-    // A target that fell silent is noticed by looking at its lease: no report comes that would tell.
+    // A target that stops reporting causes no event, so the lease is polled for expiry.
     const expiry = setInterval(() => target.onChanged(), settings.heartbeatIntervalMs);
     const origins = {
       inbound: inbound.origin,
@@ -59,10 +58,10 @@
     logger.info('Listening.', origins);
     return {
       origins,
-      // A running process takes other control origins and no other setting: all others need new sockets or new parts.
+      // Only the control origins can be reloaded: all other settings need new sockets or parts.
       reload: (next) => follower.setSeeds(next.control),
       stop: async () => {
-        // What control is told of the target is from here on the stop's affair.
+        // From here on only the stop announces the state of the target.
         clearInterval(expiry);
         await new SidecarStop(parts, servers).run(settings.stop);
       },
--- a/src/programs/sidecar-servers.ts
+++ b/src/programs/sidecar-servers.ts
@@ -1,7 +1,4 @@
-/**
- * The servers of a sidecar and the addresses that they take. Owns the sockets from their start until the stop ends them;
- * relies on the parts of the sidecar, which are built before.
- */
+/** Starts the servers of a sidecar. */
 import type { Registry } from 'prom-client';
 import { StopPhase } from '../call/stop-phase.js';
 import type { GateServer } from '../gate/gate-server.js';
@@ -18,23 +15,23 @@
 import { createIngress } from './sidecar-ingress.js';
 import type { SidecarParts } from './sidecar-parts.js';
 
-/** Bytes. The ingress takes larger headers than routes may allow, so that it can say what the limit is. */
+/** Larger than any limit that a route may set, so that the ingress can answer with the limit that was exceeded. */
 const MAX_HEADER_BYTES = 256 * 1024;
 
-/** What listens, and what the calls that arrive go to. */
+/** The listening servers, and the gate and ingress that handle their calls. */
 export interface SidecarServers {
   readonly gate: GateServer;
   readonly ingress: IngressServer;
-  /** Where the sidecars of other machines call the gate. */
+  /** Accepts calls from the sidecars of other machines, for the gate. */
   readonly inbound: LinkServer;
-  /** Where clients and the target call the ingress. */
+  /** Accepts requests from clients and from the target, for the ingress. */
   readonly outbound: ListeningServer;
-  /** Where the target reports itself. */
+  /** Accepts the reports of the target. */
   readonly registration: ListeningServer;
   readonly admin: ListeningServer;
 }
 
-/** Starts the servers, the one for probes last: whoever reaches it finds all others listening. */
+/** Starts the servers. The admin server is last, so that all others listen once probes succeed. */
 export async function startSidecarServers(parts: SidecarParts): Promise<SidecarServers> {
   const { settings } = parts;
   const gate = createGate(parts);
@@ -59,7 +56,7 @@
 
 function createRegistration({ lease, logger, follower }: SidecarParts): RegistrationApi {
   return new RegistrationApi(lease, logger.part('target'), (service) => {
-    // Before the first set no service is declared, and targets are believed: they report themselves some seconds earlier.
+    // Targets may report before the first set is declared, so any service is accepted until then.
     const declared = tableOf(follower).serviceNames();
     return declared.length === 0 || declared.includes(service);
   });
--- a/src/programs/sidecar-stop.ts
+++ b/src/programs/sidecar-stop.ts
@@ -1,16 +1,14 @@
 /**
- * The planned stop of a sidecar. Its phases, with the moments at which they end as parts of the time until the process is
- * killed (`stop.graceMs`; the constants stand in call/stop-phase.ts, weighed in docs/design/platform.md, "Start and stop
- * of a sidecar"):
+ * The graceful stop of a sidecar. Ends of phases are fractions of `stop.graceMs`, the time until the process is killed (see
+ * {@link stopTimes} and docs/design/platform.md, "Start and stop of a sidecar"):
  *
- * | phase     | ends                          | what is taken                                                        |
- * | --------- | ----------------------------- | -------------------------------------------------------------------- |
- * | draining  | at 0.42                       | all work that can be answered by 0.9, as clients need time to notice |
- * | finishing | when idle, at 0.93 the latest | only calls that the target makes for what it is working on           |
- * | ending    | 0.15 s later at the latest    | nothing: last answers are sent, then connections are ended           |
+ * | phase     | ends                          | accepted calls                                                     |
+ * | --------- | ----------------------------- | ------------------------------------------------------------------ |
+ * | draining  | at 0.42                       | all that can be answered by 0.9, as clients need time to move away |
+ * | finishing | when idle, at 0.93 the latest | only those that the target makes for requests in flight            |
+ * | ending    | 0.15 s later at the latest    | none: the last responses are sent, then connections are closed     |
  *
- * Without `stop.graceMs` draining takes `stop.drainMs`, and finishing at most `stop.timeoutMs`. The target itself may run
- * on, so the shorter it is without its sidecar the better. Relies on the parts and servers of the sidecar; owns none.
+ * Without `stop.graceMs`, draining takes `stop.drainMs` and finishing at most `stop.timeoutMs`.
  */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import { allIdle, type CallStats } from '../call/call-stats.js';
@@ -32,12 +30,12 @@
 import type { Logger } from '../common/logger.js';
 import { delay, within } from './program.js';
 
-/** Longest time that a stop waits for control to hear of it, in milliseconds. */
+/** Maximum time to wait for control to confirm the announcement, in milliseconds. */
 const ANNOUNCEMENT_TIMEOUT_MS = 300;
-/** Longest time for connections to end after their last answers, in milliseconds: most need a round trip. */
+/** Maximum time for connections to close after their last responses, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 150;
 
-/** The parts of a sidecar that its stop concerns. */
+/** The parts of a sidecar that its stop needs. */
 export interface StoppingParts {
   readonly stopProgress: StopProgress;
   readonly logger: Logger;
@@ -50,7 +48,7 @@
   readonly instancePool: InstancePool;
 }
 
-/** The servers that its stop ends. */
+/** The servers that the stop closes. */
 export interface StoppingServers {
   readonly gate: GateServer;
   readonly ingress: IngressServer;
@@ -66,16 +64,16 @@
     private readonly servers: StoppingServers,
   ) {}
 
-  /** Resolves once every connection has ended. */
+  /** Resolves once every connection is closed. */
   async run(declared: DeclaredStop): Promise<void> {
-    // Clients turn away first, then calls end, and connections go last: ended with calls under way, they lose answers.
+    // Connections are closed last: closing them while calls are in flight would lose responses.
     await this.drain(stopTimes(declared));
     const hasFinished = await this.finish();
     await this.end(hasFinished);
     this.parts.logger.info('Stopped.');
   }
 
-  /** Goes on as before until clients have noticed that the process is not ready. */
+  /** Accepts calls as before until clients have noticed that the process is not ready. */
   private async drain(times: StopTimes): Promise<void> {
     const { stopProgress, logger } = this.parts;
     stopProgress.begin(times);
@@ -84,8 +82,8 @@
   }
 
   /**
-   * Calls that wait are refused at once, as other gates can still take them; what is under way is finished.
-   * @returns whether all of it was
+   * Refuses queued calls at once, as other gates can still take them, and waits for calls in flight.
+   * @returns whether all calls finished in time
    */
   private async finish(): Promise<boolean> {
     const { stopProgress, logger, admission, follower } = this.parts;
@@ -96,14 +94,14 @@
     return within(this.untilIdle(announced), stopProgress.timeLeftMs);
   }
 
-  /** Resolves when control knows of the stop, or has not answered, and then nothing is under way. */
+  /** Waits for the announcement to control, then until no call is in flight. */
   private async untilIdle(announced: Promise<boolean>): Promise<void> {
     const { inboundStats, outboundStats } = this.parts;
     await announced;
     await allIdle([inboundStats, outboundStats]);
   }
 
-  /** Answers what is left with a true verdict, then ends connections. */
+  /** Answers the remaining calls with an accurate verdict, then closes connections. */
   private async end(hasFinished: boolean): Promise<void> {
     this.parts.stopProgress.phase = StopPhase.Ending;
     if (!hasFinished) this.abortCalls();
@@ -119,7 +117,7 @@
     gate.endWithProcess();
   }
 
-  /** Ends connections once their last answers have been sent: destroyed at once, these were lost. */
+  /** Closes connections after their last responses are sent: destroying them at once would lose these. */
   private async closeConnections(): Promise<void> {
     const { follower, links, instancePool } = this.parts;
     const { inbound, outbound, registration, admin } = this.servers;
--- a/src/programs/sidecar-target.ts
+++ b/src/programs/sidecar-target.ts
@@ -1,8 +1,4 @@
-/**
- * What follows in a sidecar when its target changes: who the target is decides what control is told, how many slots there
- * are, and which connections lead to it. Owns what was announced of the target; relies on the lease to say which target
- * is in use, and on the follower to announce it.
- */
+/** Applies changes of the target to the parts of a sidecar: the announcement to control, the slots and the connections. */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import type { SlotLimiter } from '../admission/slot-limiter.js';
 import { StopPhase, type StopProgress } from '../call/stop-phase.js';
@@ -18,7 +14,7 @@
 import type { SidecarSettings } from '../settings/sidecar-settings.js';
 import { tableOf } from './following-process.js';
 
-/** The parts of a sidecar that its target concerns. */
+/** The parts of a sidecar that depend on its target. */
 export interface TargetDependencies {
   readonly settings: SidecarSettings;
   readonly headers: TargetHeaders;
@@ -32,17 +28,18 @@
   readonly stopProgress: StopProgress;
 }
 
+/** Reacts to changes of the target that the lease reports. */
 export class SidecarTarget {
-  /** Incarnation announced to control: higher for each start and each target after it. */
+  /** Incarnation announced to control; increases with every start of the process and every new target. */
   incarnation: number;
-  /** The service of the target, or of the last one; empty before the first. */
+  /** Service of the current or last target; empty before the first. */
   announcedService = '';
   private announcedTarget: Incarnation | undefined;
   private hasProbed = false;
 
   /**
-   * @param startedAt wall-clock milliseconds at which the process started
-   * @param getParts called once all of them are built
+   * @param startedAt wall-clock time at which the process started, in milliseconds
+   * @param getParts returns the parts; called only after all of them are created
    */
   constructor(
     startedAt: number,
@@ -52,7 +49,7 @@
     this.incarnation = startedAt;
   }
 
-  /** The target, its state or its slots may have changed. */
+  /** Called when the target, its state or its slots may have changed. */
   onChanged(): void {
     const { lease, follower, admission, crashGuard } = this.getParts();
     const { current } = lease;
@@ -66,7 +63,7 @@
     else admission.refuseWaiting();
   }
 
-  /** Adopts slots and connections, which both the target and the configuration may change. */
+  /** Applies the slots of the target and the connections of its service. */
   configure(): void {
     const { lease, limiter, instancePool, follower } = this.getParts();
     const { current } = lease;
@@ -76,8 +73,8 @@
   }
 
   /**
-   * Asks the target once for its health, if it has not reported itself yet: without that it stands idle until its next
-   * report after a restart of the sidecar, up to 1.5 s.
+   * Probes the health endpoint of the target once if it has not reported yet. Without the probe, the target would get no
+   * calls after a restart of the sidecar until its next report.
    */
   async probeOnce(): Promise<void> {
     const { lease, settings, follower, headers } = this.getParts();
@@ -91,7 +88,7 @@
     if (report !== undefined && lease.current === undefined) lease.onReport(report);
   }
 
-  /** Whether the target gets no new work. */
+  /** Whether the target gets no new calls. */
   private get isLeaving(): boolean {
     const { stopProgress, lease } = this.getParts();
     return stopProgress.phase >= StopPhase.Finishing || !lease.isReady;
@@ -106,7 +103,7 @@
     else logger.info('The target is another one.', { ...current, left });
   }
 
-  /** Arrivals at the target of another service say nothing about this one's budget. */
+  /** Resets the retry budget, which counts the calls of one service. */
   private onServiceChanged(service: string): void {
     if (service === this.announcedService || service === '') return;
     this.announcedService = service;
--- a/test/cli/command-line.test.ts
+++ b/test/cli/command-line.test.ts
@@ -1,6 +1,6 @@
 /**
- * Scripts of operators call the command line: its commands, flags, help texts and exit codes. The help texts stand in
- * test/fixtures/help, one file a command.
+ * Pins the commands, flags, help texts and exit codes, on which operators' scripts depend. The help texts are in
+ * test/fixtures/help, one file for each command.
  */
 import { expect } from 'chai';
 import { execFile, spawn } from 'node:child_process';
@@ -31,7 +31,7 @@
   return bin.shoredoor!;
 }
 
-/** Runs a command to its end. @param variables of its environment */
+/** Runs a command until it exits. @param variables additional environment variables */
 function shoredoor(
   args: readonly string[],
   variables: Record<string, string> = {},
@@ -46,7 +46,7 @@
   });
 }
 
-/** The commands as the help names them. */
+/** Returns the commands that the help lists. */
 function commandsIn(help: string): string[] {
   return [...help.matchAll(/^ {2}\$ shoredoor ([a-z]+) --help$/gm)].map((match) => match[1]!);
 }
--- a/test/cli/failed-start.test.ts
+++ b/test/cli/failed-start.test.ts
@@ -1,9 +1,6 @@
 /**
- * Symptom: a sidecar took no requests, and its process ran on.
- * Sequence: it was started while something else held its outbound address; its inbound side listened already.
- * Cause: the error of the start was reported, and the open server kept the process alive, so no supervisor started it
- * again.
- * Settled by: "listen EADDRINUSE" in the log of a process that was still there 20 s later.
+ * Guards against a process that stays alive after a failed start because one of its servers already listens, so that no
+ * supervisor restarts it.
  */
 import { expect } from 'chai';
 import { mkdtempSync, writeFileSync } from 'node:fs';
--- a/test/cli/run-program.test.ts
+++ b/test/cli/run-program.test.ts
@@ -1,8 +1,6 @@
 /**
- * Symptom: a program that was stopped right after its start ended by the signal and not in order.
- * Sequence: it writes the line with its addresses; a supervisor reads it and sends SIGTERM at once.
- * Cause: the line was written before the handlers of signals were installed.
- * Settled by: 10 of 10 stops ended by SIGTERM with 100 ms put between the two, none of 40 with the handlers first.
+ * Guards against printing the origins before the signal handlers are installed: a supervisor that sends SIGTERM on that line
+ * would kill the process instead of stopping it gracefully.
  */
 import { expect } from 'chai';
 import { z } from 'zod';
--- a/test/platform/deploy-files.test.ts
+++ b/test/platform/deploy-files.test.ts
@@ -1,6 +1,6 @@
 /**
- * The files of `deploy/` are read by the users' platform: the fields that templates take from it, and the names and
- * commands that it is told. What the platform fills in has to be valid settings of the program.
+ * Pins the files in `deploy/` that the users' platform reads: template fields, names and commands. A filled template must be
+ * valid settings.
  */
 import { expect } from 'chai';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -13,7 +13,7 @@
 import { fillTemplate, namesInTemplate, type TemplateFields } from '../support/fill-template.js';
 import { readToml } from '../support/read-toml.js';
 
-/** A template filled once, and the settings that it gives. */
+/** A template, the field values, and the resulting settings. */
 interface FilledTemplate {
   readonly template: string;
   readonly fields: TemplateFields;
@@ -21,7 +21,7 @@
 }
 
 interface RecordedFiles {
-  /** The names that each template takes from the platform. */
+  /** Field names of each template. */
   readonly templateNames: Readonly<Record<string, readonly string[]>>;
   readonly filled: readonly FilledTemplate[];
   readonly tables: Readonly<Record<string, unknown>>;
--- a/test/programs/crashing-requests.test.ts
+++ b/test/programs/crashing-requests.test.ts
@@ -1,9 +1,6 @@
 /**
- * A request crashed every target that began to run it, and came again, with the same path, caller and body, at other
- * sidecars. Under one of them three targets had ended and 7 to 10 more were sent it, 16 ended in all; under the next, 17. Each
- * process forgot a request with its attempt, so every arrival was the first, and a repeatable one took a second target 5 to
- * 11 ms after the first had crashed. What settled it: of one request `reaches server i-0e6fa2ec23 .. 49.554 s its run ends: 0
- * crashed .. 49.565 s reaches server i-25c8e927ca`, the next one at 49.790 s, and no log line names it twice.
+ * Guards against a request that crashes one target after the other because it is retried or sent again through other
+ * sidecars, none of which remembers its earlier crashes.
  */
 import { expect } from 'chai';
 import { CrashingTargets, pause } from '../support/crashing-targets.js';
@@ -11,13 +8,13 @@
 
 const FRONTS = 6;
 const BACKS = 4;
-/** Time in which all processes are to know, in milliseconds: the bound on contact of a platform. */
+/** Maximum time until all processes know of the quarantine, in milliseconds. */
 const PROPAGATION_MS = 3_000;
-/** Times that a request may still reach a target later than that. */
+/** Maximum number of runs after that time. */
 const MAX_LATE_RUNS = 3;
 const GAP_MS = 300;
 const SENDING_MS = 7_500;
-/** Time from the third crash in which the targets are all back, in milliseconds. */
+/** Time from the third crash until all targets are ready again, in milliseconds. */
 const SETTLED_MS = PROPAGATION_MS + 1_000;
 const HARMLESS_GAP_MS = 40;
 const STATUS_OK = 200;
@@ -33,7 +30,7 @@
 
   afterEach(() => targets.end());
 
-  /** Sends `path` again and again at machines in turn, and innocent requests beside it. */
+  /** Sends `path` repeatedly to the machines in turn, along with harmless requests. */
   async function sendRepeatedly(
     path: string,
     body: string | undefined,
--- a/test/programs/edge-stop.test.ts
+++ b/test/programs/edge-stop.test.ts
@@ -37,9 +37,8 @@
 };
 
 /**
- * Symptom: requests that an edge took while it was stopping ended with a reset connection.
- * Sequence: SIGTERM; a request of 5 s arrives while the edge drains; the edge ends after 1 s.
- * Cause: nothing but the end of the process bounded the time of what it took.
+ * Guards against reset connections of requests that arrive while the edge drains and that have a longer deadline than the
+ * stop leaves them.
  */
 describe('the planned stop of an edge', function () {
   this.timeout(20_000);
--- a/test/programs/planned-stop.test.ts
+++ b/test/programs/planned-stop.test.ts
@@ -10,13 +10,8 @@
 }
 
 /**
- * Symptom: calls that a target made through its sidecar had reached their target and ended without an answer, around a
- * planned stop of that sidecar.
- * Sequence: SIGTERM; runs go on and make one call after the other; the sidecar takes each of them until the moment at which
- * it ends all connections, at 0.85 of its grace time.
- * Cause: whether a call could still be finished was never asked, and nothing but the end itself bounded its time.
- * Settled by: 8 calls had arrived and were cut, sent 1,606 to 1,678 ms after the signal, where the end came at 1,700 ms
- * of 2,000 and calls take 120 ms.
+ * Guards against calls of the target that a stopping sidecar accepts but can no longer finish: they reached their target
+ * and then ended without a response.
  */
 describe('the planned stop of a sidecar whose target makes calls', function () {
   this.timeout(30_000);
@@ -70,10 +65,7 @@
     expect(targets.cutCalls()).to.deep.equal([]);
   });
 
-  /**
-   * The same on the called side: calls of 0.6 of the grace time were taken while the sidecar drained, and broken off at
-   * its end.
-   */
+  /** The same on the called side: long calls were accepted while the sidecar drained, and aborted at its end. */
   it('takes no call for its target that it would not finish', async () => {
     const longMs = 0.6 * GRACE_MS;
     await targets.call();
--- a/test/programs/process-random.test.ts
+++ b/test/programs/process-random.test.ts
@@ -8,7 +8,7 @@
   it('begin with different choices', () => {
     const counts = Array.from({ length: CHOICES }, () => 0);
     for (let each = 0; each < PROCESSES; each += 1) counts[processRandom().below(CHOICES)]! += 1;
-    // 100 each are expected; fewer than 50 of one come by chance once in 10^9 runs.
+    // The expected count is 100 each; a count below 50 has a probability of 10^-9.
     for (const count of counts) expect(count).to.be.above(PROCESSES / CHOICES / 2);
   });
 });
--- a/test/programs/report-before-set.test.ts
+++ b/test/programs/report-before-set.test.ts
@@ -7,10 +7,8 @@
 import { sidecarSettings } from '../support/sidecar-settings.js';
 
 /**
- * Targets report themselves as soon as they run, some seconds before an operator declares the first set; their reports were
- * answered 422. Sequence: sidecar and control start, the sidecar follows a store without resources, the target reports.
- * Cause: an empty configuration was taken for one that declares no such service. Settled by: `A report names a service that
- * is not declared.` for five of 16 targets, all between the first sync and the first set.
+ * Guards against rejecting (422) the reports of targets that start before an operator declares the first set, when the store
+ * that the sidecar follows is still empty.
  */
 describe('a target that reports itself before the first set is declared', function () {
   this.timeout(20_000);
@@ -25,7 +23,7 @@
       SILENT_LOGGER,
     );
     cleanup.add(() => sidecar.stop());
-    // Ready: the sidecar follows the store, which is empty.
+    // Once ready, the sidecar has synced with the empty store.
     await until(async () => (await request(`${sidecar.origins.admin}/readyz`)).statusCode === 200);
     const report = { address: '127.0.0.1:9', slots: 8, state: 'ready', sequence: 1, born: 1_000 };
     const response = await request(`${sidecar.origins.registration}/v1/instances/i-1`, {
--- a/test/programs/sidecar-groups.test.ts
+++ b/test/programs/sidecar-groups.test.ts
@@ -9,12 +9,12 @@
 import { sidecarSettings } from '../support/sidecar-settings.js';
 import { ScriptedTarget } from '../support/scripted-target.js';
 
-/** Time within which a key that was taken away runs nowhere, in milliseconds. */
+/** Time within which the revocation of a key takes effect, in milliseconds. */
 const REVOKED_WITHIN_MS = 1_500;
 const RATE = 4;
-/** The bound of a group: five seconds of its rate, a tenth more and twenty, in any window. */
+/** In any window, a group may run at most five seconds of its rate, plus 10 %, plus 20 requests. */
 const WINDOW_MS = 5_000;
-/** Requests sent together, and answers after which the limit counts as reached. */
+/** Requests sent concurrently, and the number of refusals after which the limit counts as reached. */
 const BATCH = 20;
 const MIN_REFUSED = 200;
 
@@ -101,7 +101,7 @@
     };
   }
 
-  /** The head of the last request that the target got, in lower case. */
+  /** Returns the head of the last request that the target received, in lower case. */
   function lastHead(): string {
     return `${target.arrived.at(-1)!.head}\r\n`;
   }
--- a/test/programs/sidecar.test.ts
+++ b/test/programs/sidecar.test.ts
@@ -13,12 +13,12 @@
 import { Cleanup, until } from '../support/processes.js';
 
 const CLOSED_SILENTLY = '';
-/** A process that is ready makes no client wait this long. */
+/** Maximum time for the first response of a ready process, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 3_000;
-/** Within this a target hears that its client has left. */
+/** Time within which the target's connection closes after its client has disconnected, in milliseconds. */
 const ABORT_NOTICE_MS = 500;
 
-/** Of a route whose requests are given up soon. */
+/** Timeout of the route `quick`, in milliseconds. */
 const QUICK_TIMEOUT_MS = 400;
 
 function route(name: string, semantics: string, timeoutMs = 2_000) {
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Answers the first request of a test by `script`, and later ones whole. */
+  /** Answers the first request with `script`, and later ones with a complete response. */
   function once(script: Script): void {
     target.arrived.length = 0;
     let isFirst = true;
@@ -163,7 +163,7 @@
   const cases: {
     name: string;
     script: Script;
-    /** What a repeatable request and one that may run once are answered. */
+    /** Expected responses to a repeatable request and to one that may run only once. */
     read: { status: number; body?: string };
     place: { status: number; body?: string };
   }[] = [
@@ -279,12 +279,7 @@
     expect(target.arrived).to.deep.equal([]);
   });
 
-  /**
-   * Symptom: requests were lost one after the other at a target that answered on new connections.
-   * Sequence: the open connections to it fell silent; each idle one took a request, which then waited for its time limit.
-   * Cause: a request that was given up ended its own connection only.
-   * Settled by: with four connections idle, one request was lost, and three of the next four sent together.
-   */
+  /** Guards against losing one request for each idle connection when all connections to a target stop responding. */
   it('loses one request, and not one for each open connection, when they fall silent', async () => {
     const proxy = await LoopbackProxy.start(Number(target.address.split(':')[1]));
     cleanup.add(() => proxy.stop());
