--- a/test/cli/command-line.test.ts
+++ b/test/cli/command-line.test.ts
@@ -15,8 +15,9 @@
 
 const HELP_FOLDER = 'test/fixtures/help';
 const VERSION_TEXT = /^shoredoor\/\d+\.\d+\.\d+/;
-const NOBODY = 'http://127.0.0.1:1';
-const UNREACHED = 'shoredoor: connect ECONNREFUSED 127.0.0.1:1\nno control replica answered\n';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:1';
+const UNREACHABLE_ERROR =
+  'shoredoor: connect ECONNREFUSED 127.0.0.1:1\nno control replica answered\n';
 
 interface CommandResult {
   readonly code: number;
@@ -86,7 +87,7 @@
   });
 
   const token = { SHOREDOOR_TOKEN: 'token-of-nobody' };
-  const control = ['--control', NOBODY];
+  const control = ['--control', UNREACHABLE_ORIGIN];
   const cases: { args: string[]; variables?: Record<string, string>; code: number; err: string }[] =
     [
       { args: ['version'], code: 0, err: '' },
@@ -119,9 +120,9 @@
       },
       {
         args: ['status'],
-        variables: { ...token, SHOREDOOR_CONTROL: NOBODY },
+        variables: { ...token, SHOREDOOR_CONTROL: UNREACHABLE_ORIGIN },
         code: 4,
-        err: UNREACHED,
+        err: UNREACHABLE_ERROR,
       },
       {
         args: ['delete', 'Route', 'x', ...control],
@@ -129,7 +130,12 @@
         code: 2,
         err: 'shoredoor: kind must be one of: Service, Policy\n',
       },
-      { args: ['delete', 'Service', 'x', ...control], variables: token, code: 4, err: UNREACHED },
+      {
+        args: ['delete', 'Service', 'x', ...control],
+        variables: token,
+        code: 4,
+        err: UNREACHABLE_ERROR,
+      },
       {
         args: ['edge', '--config', '/nowhere'],
         code: 2,
@@ -199,7 +205,7 @@
   const any = '127.0.0.1:0';
   const common = { id: 'one', zone: 'zone-a', admin: any, linkToken: 'link-token-0123456789' };
   const stop = { drainMs: 0, timeoutMs: 0 };
-  const follower = { ...common, control: [NOBODY], stop };
+  const follower = { ...common, control: [UNREACHABLE_ORIGIN], stop };
   const programs: Record<string, { settings: unknown; origins: string[] }> = {
     edge: { settings: { ...follower, listen: any }, origins: ['admin', 'listen'] },
     node: {
@@ -208,7 +214,7 @@
         service: 'ledger',
         inbound: any,
         outbound: any,
-        target: { origin: NOBODY },
+        target: { origin: UNREACHABLE_ORIGIN },
       },
       origins: ['admin', 'inbound', 'outbound'],
     },
@@ -221,8 +227,8 @@
         ...common,
         listen: any,
         dataDir: join(mkdtempSync(join(tmpdir(), 'shoredoor-cli-')), 'data'),
-        seeds: [NOBODY],
-        advertise: NOBODY,
+        seeds: [UNREACHABLE_ORIGIN],
+        advertise: UNREACHABLE_ORIGIN,
       },
       origins: ['admin', 'listen'],
     },
