--- a/src/cli/apply-command.ts
+++ b/src/cli/apply-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor apply`: declares each resource of a file or folder; one answer for each. */
+/** `shoredoor apply`: declares each resource of a file or folder and reports one result for each. */
 import { randomUUID } from 'node:crypto';
 import { UsageError } from '../common/errors.js';
 import type { ResourceClient } from '../client/resource-client.js';
@@ -11,23 +11,21 @@
   printReports,
   type ChangeReport,
 } from './change-report.js';
-import { createClient, readOutput, type FileOptions } from './command-options.js';
+import { createClient, readOutputFormat, type FileOptions } from './command-options.js';
 import type { ExitCode } from './exit-codes.js';
 import { readDeclarations } from './resource-files.js';
 import { HttpStatus } from '../common/http-status.js';
 
-/** Options of `apply`. */
 export interface ApplyOptions extends FileOptions {
   readonly dryRun?: boolean;
   readonly changePrefix?: string;
 }
 
-/** `shoredoor apply`. */
 export async function applyDeclarations(options: ApplyOptions): Promise<ExitCode> {
   if (options.file === undefined) throw new UsageError('apply needs -f FILE-OR-FOLDER');
   const declared = readDeclarations(options.file);
   const client = createClient(options);
-  const format = readOutput(options);
+  const format = readOutputFormat(options);
   const prefix = options.changePrefix ?? randomUUID();
   const versions = await readVersions(client);
   const reports: ChangeReport[] = [];
@@ -38,13 +36,13 @@
       expect: options.changePrefix === undefined ? expect : undefined,
       dryRun: options.dryRun,
     });
-    reports.push(reportPut(resource, answer));
+    reports.push(toChangeReport(resource, answer));
   }
   printReports(format, reports);
   return exitCodeOf(reports);
 }
 
-/** The version that each resource stands at, so that a change in between is noticed. */
+/** Reads the current version of each resource, to detect concurrent changes. */
 async function readVersions(client: ResourceClient): Promise<Map<string, number>> {
   const { items } = await client.list();
   return new Map(
@@ -52,7 +50,7 @@
   );
 }
 
-function reportPut(resource: Resource, answer: ApiAnswer): ChangeReport {
+function toChangeReport(resource: Resource, answer: ApiAnswer): ChangeReport {
   const { kind, name } = resource;
   const body = answer.body as { type?: string } | undefined;
   let result: ChangeReport['result'];
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of operators: their names, options and examples. The work of each stands in a file of its own, which is
- * loaded when the command is given: a command that asks control for one thing starts without the rest.
+ * The operator commands with their options and examples. The implementation of each is imported only when the command runs,
+ * to keep the start short.
  */
 import type { CAC, Command } from 'cac';
 import type { ApplyOptions } from './apply-command.js';
@@ -12,8 +12,8 @@
 
 const FILE_HELP = 'File or folder with declarations (YAML)';
 
-/** Adds the options of commands that talk to control. */
-function withControl(command: Command): Command {
+/** Adds the options of commands that call control. */
+function addControlOptions(command: Command): Command {
   return command
     .option('--control <origins>', 'Control replicas, separated by commas (SHOREDOOR_CONTROL)')
     .option('--token-file <file>', 'File with the access token (or SHOREDOOR_TOKEN)')
@@ -24,7 +24,7 @@
   process.exitCode = await work;
 }
 
-/** Registers the commands, in the order of the help text. */
+/** Registers the commands in the order of the help text. */
 export function registerOperatorCommands(cli: CAC): void {
   registerApply(cli);
   registerGet(cli);
@@ -37,7 +37,7 @@
 }
 
 function registerApply(cli: CAC): void {
-  withControl(cli.command('apply', 'Declare resources from a file or folder'))
+  addControlOptions(cli.command('apply', 'Declare resources from a file or folder'))
     .option('-f, --file <path>', FILE_HELP)
     .option('--dry-run', 'Show what would change and change nothing')
     .option('--change-prefix <text>', 'Names this run; a rerun with the same text is a resend')
@@ -49,7 +49,7 @@
 }
 
 function registerGet(cli: CAC): void {
-  withControl(cli.command('get [kind] [name]', 'Show resources'))
+  addControlOptions(cli.command('get [kind] [name]', 'Show resources'))
     .example('  $ shoredoor get Policy ratenwerk --output json')
     .action(
       async (kind: string | undefined, name: string | undefined, options: OperatorOptions) => {
@@ -60,7 +60,7 @@
 }
 
 function registerDelete(cli: CAC): void {
-  withControl(cli.command('delete <kind> <name>', 'Delete a resource'))
+  addControlOptions(cli.command('delete <kind> <name>', 'Delete a resource'))
     .option('--if-version <version>', 'Only when the resource stands at this version')
     .option('--change-id <id>', 'Names this change; a resend with the same id is harmless')
     .example('  $ shoredoor delete Service bundler --if-version 12')
@@ -71,7 +71,7 @@
 }
 
 function registerDiff(cli: CAC): void {
-  withControl(cli.command('diff', 'Compare declarations with what is accepted'))
+  addControlOptions(cli.command('diff', 'Compare declarations with what is accepted'))
     .option('-f, --file <path>', FILE_HELP)
     .example('  $ shoredoor diff -f policies/')
     .action(async (options: FileOptions) => {
@@ -81,7 +81,7 @@
 }
 
 function registerWatch(cli: CAC): void {
-  withControl(cli.command('watch', 'Follow changes and the revision in force'))
+  addControlOptions(cli.command('watch', 'Follow changes and the revision in force'))
     .option('--from <revision>', 'Resume after this revision')
     .example('  $ shoredoor watch --output json')
     .action(async (options: WatchOptions) => {
@@ -91,7 +91,7 @@
 }
 
 function registerStatus(cli: CAC): void {
-  withControl(cli.command('status', 'Show revisions, replication and lagging members'))
+  addControlOptions(cli.command('status', 'Show revisions, replication and lagging members'))
     .example('  $ shoredoor status')
     .action(async (options: OperatorOptions) => {
       const { showStatus } = await import('./status-command.js');
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,9 +1,8 @@
-/** `shoredoor status`: revisions, replication and lagging members, as one replica sees them. */
-import { createClient, readOutput, type OperatorOptions } from './command-options.js';
+/** `shoredoor status`: prints revisions, replication and lagging members as one replica reports them. */
+import { createClient, readOutputFormat, type OperatorOptions } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 import { printResult } from './output.js';
 
-/** `shoredoor status`. */
 export async function showStatus(options: OperatorOptions): Promise<ExitCode> {
   const report = await createClient(options).status();
   const { replication } = report;
@@ -27,6 +26,6 @@
     ]),
   ];
   if (replication.problem !== undefined) rows.push(['problem', replication.problem]);
-  printResult(readOutput(options), report, () => ({ columns: ['WHAT', 'VALUE'], rows }));
+  printResult(readOutputFormat(options), report, () => ({ columns: ['WHAT', 'VALUE'], rows }));
   return EXIT_CODES.ok;
 }
--- a/src/cli/watch-command.ts
+++ b/src/cli/watch-command.ts
@@ -1,17 +1,15 @@
-/** `shoredoor watch`: prints each change, and the revision in force, until it is ended or changes were lost. */
+/** `shoredoor watch`: prints changes and the in-force revision until it is interrupted or has missed changes. */
 import type { WatchEvent } from '../sync/watch-event.js';
-import { createClient, readOutput, type OperatorOptions } from './command-options.js';
+import { createClient, readOutputFormat, type OperatorOptions } from './command-options.js';
 import { EXIT_CODES, type ExitCode } from './exit-codes.js';
 
-/** Options of `watch`. */
 export interface WatchOptions extends OperatorOptions {
   readonly from?: number;
 }
 
-/** `shoredoor watch`. */
 export async function watchChanges(options: WatchOptions): Promise<ExitCode> {
   const client = createClient(options);
-  const format = readOutput(options);
+  const format = readOutputFormat(options);
   const from = options.from ?? (await client.list()).revision;
   for await (const event of client.watch(from)) {
     const text = format === 'json' ? JSON.stringify(event) : describeEvent(event);
--- a/src/programs/control-parts.ts
+++ b/src/programs/control-parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of a control replica, built in one place: the store and its log, what is known of members, the keepers that a
- * leader runs, and the APIs. Owns nothing itself; the program keeps what is built here until it ends.
+ * Creates the parts of a control replica: the resource store and its replicated log, the member table, the periodic checks
+ * and the HTTP APIs.
  */
 import { SystemClock, type Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
@@ -30,62 +30,63 @@
 import { createReplicaHost } from './control-replica.js';
 import type { RequestHandlers } from './control-routes.js';
 
-/** What a deployment may have in its own way. */
-export interface ControlVariations {
-  /** Layout of declared sets. */
+/** Deployment-specific options of a control replica. */
+export interface ControlOptions {
+  /** Translates between the body of the declarations API and the declared set. */
   readonly declarationCodec: DeclarationCodec;
 }
 
-export const DEFAULT_VARIATIONS: ControlVariations = { declarationCodec: PLAIN_DECLARATION_CODEC };
+export const DEFAULT_CONTROL_OPTIONS: ControlOptions = {
+  declarationCodec: PLAIN_DECLARATION_CODEC,
+};
 
-/** The replica: its store, the log that orders changes, and what it knows of members from their heartbeats. */
+/** The replicated store, and the members known from their heartbeats. */
 interface StoreParts {
   readonly settings: ControlSettings;
   readonly logger: Logger;
   readonly clock: Clock;
   readonly store: ResourceStore;
   readonly members: MemberTable;
-  /** Wakes the syncs and watches that wait for news. */
+  /** Wakes pending syncs and watches after a change. */
   readonly notifier: ChangeNotifier;
   readonly host: ReplicaHost;
   readonly log: ReplicatedCommandLog;
-  /** Which requests crash targets, as followers tell. */
+  /** Requests that crash targets, as reported by followers. */
   readonly evidence: CrashEvidence;
 }
 
-/** What looks at the store from time to time, and changes it where this replica leads. */
-interface KeeperParts {
+/** Parts that run periodically; those that write to the store do so on the leader only. */
+interface PeriodicParts {
   readonly claimViews: ClaimViewKeeper;
   readonly quarantines: QuarantineKeeper;
   readonly leadership: LeadershipLog;
-  /** Undefined where settings name no list. */
+  /** Undefined if the settings have no `platformList`. */
   readonly platformList: PlatformListReader | undefined;
 }
 
-/** All parts of a control replica. */
-export interface ControlParts extends StoreParts, KeeperParts {
+export interface ControlParts extends StoreParts, PeriodicParts {
   readonly watches: WatchStreams;
   readonly handlers: RequestHandlers;
 }
 
-/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+/** Creates the parts without starting them. */
 export function createControlParts(
   settings: ControlSettings,
   logger: Logger,
-  variations: ControlVariations,
+  options: ControlOptions,
 ): ControlParts {
   const parts = createStoreParts(settings, logger);
-  const status = statusOf(parts);
+  const status = createStatusReader(parts);
   const watches = new WatchStreams(parts.store, parts.notifier, () => status().inForceRevision);
   const tokens = new AccessTokens(settings.tokens);
   return {
     ...parts,
-    ...createKeepers(parts),
+    ...createPeriodicParts(parts),
     watches,
     handlers: {
       receiver: new ReplicationReceiver(parts.host, settings.linkToken),
       followerApi: createFollowerApi(parts),
-      declarationApi: createDeclarationApi(parts, tokens, variations),
+      declarationApi: createDeclarationApi(parts, tokens, options),
       resourceApi: createResourceApi(parts, tokens, watches, status),
     },
   };
@@ -109,7 +110,7 @@
   };
 }
 
-function createKeepers(parts: StoreParts): KeeperParts {
+function createPeriodicParts(parts: StoreParts): PeriodicParts {
   const { clock, store, members, log, evidence, logger } = parts;
   return {
     claimViews: new ClaimViewKeeper(clock, store, members, log, wallClock),
@@ -127,14 +128,14 @@
 
 function createFollowerApi(parts: StoreParts): FollowerApi {
   const { settings, clock, store, members, notifier, log, evidence } = parts;
-  // Followers know by it whether the list of endpoints that they hold is from this start of the replica.
+  // Identifies this run of the replica: endpoint versions of different runs are not comparable.
   const source = `${settings.id}@${Date.now()}`;
   return new FollowerApi({
     clock,
     store,
     members,
     evidence,
-    quotas: new QuotaKeeper(store, settings.quota, firstGrantsAt(settings, clock.now())),
+    quotas: new QuotaKeeper(store, settings.quota, grantsKnownSince(settings, clock.now())),
     log,
     notifier,
     linkToken: settings.linkToken,
@@ -145,7 +146,7 @@
 function createDeclarationApi(
   { settings, store, log, logger }: StoreParts,
   tokens: AccessTokens,
-  { declarationCodec: codec }: ControlVariations,
+  { declarationCodec: codec }: ControlOptions,
 ): DeclarationApi {
   return new DeclarationApi({
     service: new DeclarationService({ store, log, wallClock }),
@@ -172,17 +173,17 @@
   });
 }
 
-function statusOf({ settings, log, store, members }: StoreParts): () => StatusReport {
+function createStatusReader({ settings, log, store, members }: StoreParts): () => StatusReport {
   return () => buildStatusReport(settings.id, log.status(), store.revision, members.list());
 }
 
-/** Milliseconds since 1970. */
+/** Milliseconds since the Unix epoch. */
 function wallClock(): number {
   return Date.now();
 }
 
-/** Since when no grant is unknown here: at the first start of a deployment none has been given. */
-function firstGrantsAt({ bootstrap }: ControlSettings, now: number): number {
+/** Time from which all quota grants are known here. A replica that bootstraps the deployment has no earlier grants. */
+function grantsKnownSince({ bootstrap }: ControlSettings, now: number): number {
   return bootstrap ? -Infinity : now;
 }
 
--- a/src/programs/control-replica.ts
+++ b/src/programs/control-replica.ts
@@ -1,7 +1,4 @@
-/**
- * The replicated store's own process within a control replica: which replica this is, with whom it forms the store, where
- * its data folder and its transport are. Owns the files under `dataDir`; relies on the other replicas for a majority.
- */
+/** Creates the consensus replica of a control process from its settings: identity, peers, data folder and transport. */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
@@ -15,7 +12,7 @@
 import type { ControlSettings } from '../settings/control-settings.js';
 import { processRandom } from './process-random.js';
 
-/** Builds the replica. It takes no part before it is started. */
+/** Creates the replica without starting it. */
 export function createReplicaHost(
   settings: ControlSettings,
   clock: Clock,
@@ -30,28 +27,28 @@
     files: new DiskFiles(settings.dataDir),
     transport: new ReplicationSender(new ControlClient(linkToken), electionTimeoutMs),
     stateMachine: new StoreMachine(store, () => notifier.notify()),
-    ...placeOf(settings),
+    ...topologyOf(settings),
     electionTimeoutMs,
     voterTarget: settings.voters,
     drawIdentity: () => randomUUID(),
     onPhase: (phase, problem) => {
       if (phase === 'damaged' || phase === 'failed') {
-        logger.error('The replica takes no part.', { phase, problem });
+        logger.error('The replica cannot participate in the cluster.', { phase, problem });
       } else logger.info('The replica changed its phase.', { phase });
     },
   });
 }
 
-/** How a replica is named and reached, and whom it forms the store with or joins through. */
-type ReplicaPlace = Pick<ReplicaHostOptions, 'name' | 'origin' | 'role' | 'contacts' | 'join'>;
+/** Name, origin and role of a replica, and the peers with which it forms or joins the cluster. */
+type ReplicaTopology = Pick<ReplicaHostOptions, 'name' | 'origin' | 'role' | 'contacts' | 'join'>;
 
-function placeOf(settings: ControlSettings): ReplicaPlace {
+function topologyOf(settings: ControlSettings): ReplicaTopology {
   const { id: name, replicas, seeds, advertise, bootstrap } = settings;
   if (seeds !== undefined) {
     const origin = advertise!;
     const contacts = seeds.filter((seed) => seed !== origin);
-    const forms = bootstrap && contacts.length < seeds.length;
-    return { name, origin, role: 'voter', contacts, join: !forms };
+    const isBootstrapping = bootstrap && contacts.length < seeds.length;
+    return { name, origin, role: 'voter', contacts, join: !isBootstrapping };
   }
   const own = replicas!.find((replica) => replica.id === name)!;
   const contacts = replicas!.filter((replica) => replica.id !== name).map(({ origin }) => origin);
--- a/src/programs/node-parts.ts
+++ b/src/programs/node-parts.ts
@@ -1,7 +1,7 @@
 /**
- * The parts of a node, built in one place, and what a new configuration or a new list of endpoints changes in them. Some
- * parts know each other both ways (the follower announces the claims' epoch, and brings the claims' view), so these get
- * `later`, to be called once all are built. Owns nothing itself; the program keeps what is built here until it ends.
+ * Creates the parts of a node and applies new configurations and endpoint lists to them. Some parts depend on each other
+ * (the follower announces the claim epoch and receives the claim view), so factories get a `getParts` function, which may be
+ * called only after all parts are created.
  */
 import { AdaptiveLimiter } from '../admission/adaptive-limiter.js';
 import { AdmissionController } from '../admission/admission-controller.js';
@@ -21,108 +21,106 @@
 import type { ServiceDirectory } from '../routing/service-directory.js';
 import type { NodeSettings } from '../settings/node-settings.js';
 import {
-  adoptEndpoints,
+  applyEndpoints,
   createDirectory,
   createProcessFollower,
   tableOf,
-  type FollowingProcess,
+  type ProcessContext,
 } from './following-process.js';
 import { processRandom } from './process-random.js';
 
-/** Connections that a node opens to one node of another service. */
+/** Maximum connections to one node of another service. */
 const CONNECTIONS_PER_NODE = 128;
 
-/** Why a node takes no new calls; any one of these is enough. */
-export class NodeStanding {
-  stopping = false;
-  /** The platform says that this machine leaves. */
-  takenOut = false;
-  /** A newer process has this one's id. */
-  superseded = false;
+/** Reasons for which a node takes no new calls. It is leaving if at least one of them holds. */
+export class LeavingState {
+  isStopping = false;
+  /** Control lists this node as leaving. */
+  isListedAsLeaving = false;
+  /** A newer process uses the same id. */
+  isSuperseded = false;
 
   get isLeaving(): boolean {
-    return this.stopping || this.takenOut || this.superseded;
+    return this.isStopping || this.isListedAsLeaving || this.isSuperseded;
   }
 }
 
-/** The node itself. */
-interface NodeBase extends FollowingProcess {
+interface NodeBase extends ProcessContext {
   readonly settings: NodeSettings;
-  /** Wall-clock milliseconds at which the process started. */
+  /** Wall-clock time at which the process started, in milliseconds. */
   readonly incarnation: number;
-  readonly standing: NodeStanding;
+  readonly leavingState: LeavingState;
 }
 
-/** The gate before the target. */
+/** Admission control in front of the target. */
 interface GateParts {
   readonly limiter: AdaptiveLimiter;
   readonly admission: AdmissionController;
   readonly targetPool: TargetPool;
 }
 
-/** The claims of idempotency keys: those that this node keeps for its service, and those that it asks for. */
+/** Claims of idempotency keys: the replica that this node hosts for its service, and the client that requests claims. */
 interface ClaimParts {
   readonly claimReplica: ClaimReplica;
   readonly claims: QuorumClaims;
 }
 
-/** All parts of a node. */
 export interface NodeParts extends NodeBase, GateParts, ClaimParts {
   readonly inboundStats: CallStats;
   readonly outboundStats: CallStats;
-  /** Calls under way at the target, by which its own calls are known. */
+  /** Calls in flight at the target, used to match the target's own calls to them. */
   readonly registry: InboundRegistry;
   /** Connections to other nodes. */
   readonly pools: ConnectionPools;
   readonly directory: ServiceDirectory;
   readonly follower: Follower;
-  /** Origin that others reach the inbound side under; empty until that listens, where settings name none. */
+  /** Origin announced for the inbound server; empty until it listens, unless the settings have one. */
   advertised: string;
 }
 
-/** Gives all parts, once they are built. */
-type LaterParts = () => NodeParts;
+/** Returns all parts; may be called only after they are created. */
+type PartsGetter = () => NodeParts;
 
-/** Builds the parts. Nothing runs and nothing listens before the program starts them. */
+/** Creates the parts without starting them. */
 export function createNodeParts(settings: NodeSettings, logger: Logger): NodeParts {
-  const later: LaterParts = () => parts;
+  const getParts: PartsGetter = () => parts;
   const base: NodeBase = {
     clock: new SystemClock(),
     random: processRandom(),
     settings,
     logger,
     incarnation: Date.now(),
-    standing: new NodeStanding(),
+    leavingState: new LeavingState(),
   };
   const pools = new ConnectionPools({ connections: CONNECTIONS_PER_NODE });
   const parts: NodeParts = {
     ...base,
-    ...createGateParts(base, later),
-    ...createClaimParts(base, pools, later),
+    ...createGateParts(base, getParts),
+    ...createClaimParts(base, pools, getParts),
     inboundStats: new CallStats(),
     outboundStats: new CallStats(),
     registry: new InboundRegistry(),
     pools,
     directory: createDirectory(
       base,
-      (service) => tableOf(later().follower).serviceSpec(service).slowStartMs,
+      (service) => tableOf(getParts().follower).serviceSpec(service).slowStartMs,
     ),
-    follower: createFollower(base, later),
+    follower: createFollower(base, getParts),
     advertised: settings.advertise ?? '',
   };
   return parts;
 }
 
-function createGateParts({ clock, random, settings }: NodeBase, parts: LaterParts): GateParts {
+function createGateParts({ clock, random, settings }: NodeBase, getParts: PartsGetter): GateParts {
   const limiter = new AdaptiveLimiter(DEFAULT_SERVICE_SPEC.concurrency, random);
   const admission = new AdmissionController({
     clock,
     random,
     limiter,
     order: SHARING_ORDERS['share-first'],
-    shareOf: (group) => tableOf(parts().follower).shareOf(group),
-    totalShare: () => tableOf(parts().follower).totalShare,
-    queueWaitMs: () => specOf(parts()).queueWaitMs,
+    shareOf: (group) => tableOf(getParts().follower).shareOf(group),
+    totalShare: () => tableOf(getParts().follower).totalShare,
+    queueWaitMs: () => specOf(getParts()).queueWaitMs,
   });
   const targetPool = new TargetPool(settings.target.origin, DEFAULT_SERVICE_SPEC.connections);
   return { limiter, admission, targetPool };
@@ -131,12 +129,12 @@
 function createClaimParts(
   { clock, incarnation, settings }: NodeBase,
   pools: ConnectionPools,
-  parts: LaterParts,
+  getParts: PartsGetter,
 ): ClaimParts {
   const transport = new HttpClaimTransport({
     pools,
     linkToken: settings.linkToken,
-    originOf: (nodeId) => parts().follower.view.endpoint(nodeId)?.origin,
+    originOf: (nodeId) => getParts().follower.view.endpoint(nodeId)?.origin,
   });
   const shared: Omit<QuorumClaimsOptions, 'replica'> = {
     clock,
@@ -144,13 +142,13 @@
     incarnation,
     transport,
   };
-  const silentForMs = (): number => parts().follower.silentForMs();
+  const silentForMs = (): number => getParts().follower.silentForMs();
   const claimReplica = new ClaimReplica({ ...shared, silentForMs });
   return { claimReplica, claims: new QuorumClaims({ ...shared, replica: claimReplica }) };
 }
 
-function createFollower(base: NodeBase, parts: LaterParts): Follower {
-  const { settings, incarnation, standing, logger } = base;
+function createFollower(base: NodeBase, getParts: PartsGetter): Follower {
+  const { settings, incarnation, leavingState, logger } = base;
   return createProcessFollower(base, {
     identity: () => ({
       id: settings.id,
@@ -158,27 +156,27 @@
       incarnation,
       zone: settings.zone,
       service: settings.service,
-      origin: parts().advertised,
-      claimEpoch: parts().claimReplica.settledEpoch,
+      origin: getParts().advertised,
+      claimEpoch: getParts().claimReplica.settledEpoch,
     }),
-    onConfiguration: (view) => adoptConfiguration(parts(), view),
-    onEndpoints: (view) => adoptNodeEndpoints(parts(), view),
+    onConfiguration: (view) => applyConfiguration(getParts(), view),
+    onEndpoints: (view) => applyNodeEndpoints(getParts(), view),
     onSuperseded: () => {
-      if (!standing.superseded) {
-        logger.error('Another process with this id is newer. Taking no new calls.');
+      if (!leavingState.isSuperseded) {
+        logger.error('A newer process uses the same id; refusing new calls.');
       }
-      standing.superseded = true;
+      leavingState.isSuperseded = true;
     },
   });
 }
 
-/** What the configuration in force says of the service of this node. */
+/** Returns the current specification of this node's service. */
 function specOf({ settings, follower }: NodeParts): ServiceSpec {
   return tableOf(follower).serviceSpec(settings.service);
 }
 
-/** The limit may have risen, so calls that wait are looked at last. */
-function adoptConfiguration(parts: NodeParts, view: ConfigurationView): void {
+/** Dispatches queued calls last, as the concurrency limit may have been raised. */
+function applyConfiguration(parts: NodeParts, view: ConfigurationView): void {
   const { settings, claimReplica, limiter, targetPool, admission } = parts;
   const claimView = view.resource({ kind: 'ClaimView', name: settings.service });
   if (claimView?.kind === 'ClaimView') claimReplica.setView(claimView);
@@ -188,9 +186,9 @@
   admission.dispatch();
 }
 
-function adoptNodeEndpoints(parts: NodeParts, view: ConfigurationView): void {
-  const { settings, incarnation, standing, directory, pools } = parts;
+function applyNodeEndpoints(parts: NodeParts, view: ConfigurationView): void {
+  const { settings, incarnation, leavingState, directory, pools } = parts;
   const own = view.endpoint(settings.id);
-  standing.takenOut = own?.incarnation === incarnation && own.state === 'leaving';
-  adoptEndpoints(view, directory, pools);
+  leavingState.isListedAsLeaving = own?.incarnation === incarnation && own.state === 'leaving';
+  applyEndpoints(view, directory, pools);
 }
--- a/src/programs/sidecar-target.ts
+++ b/src/programs/sidecar-target.ts
@@ -1,8 +1,4 @@
-/**
- * What follows in a sidecar when its target changes: who the target is decides what control is told, how many slots there
- * are, and which connections lead to it. Owns what was announced of the target; relies on the lease to say which target
- * is in use, and on the follower to announce it.
- */
+/** Applies changes of the target to the parts of a sidecar: the announcement to control, the slots and the connections. */
 import type { AdmissionController } from '../admission/admission-controller.js';
 import type { SlotLimiter } from '../admission/slot-limiter.js';
 import { StopPhase, type StopProgress } from '../call/stop-phase.js';
@@ -18,8 +14,8 @@
 import type { SidecarSettings } from '../settings/sidecar-settings.js';
 import { tableOf } from './following-process.js';
 
-/** The parts of a sidecar that its target concerns. */
-export interface TargetSurroundings {
+/** The parts of a sidecar that depend on its target. */
+export interface TargetDependencies {
   readonly settings: SidecarSettings;
   readonly headers: TargetHeaders;
   readonly lease: TargetLease;
@@ -32,43 +28,44 @@
   readonly stopProgress: StopProgress;
 }
 
+/** Reacts to changes of the target that the lease reports. */
 export class SidecarTarget {
-  /** Incarnation announced to control: higher for each start and each target after it. */
+  /** Incarnation announced to control; increases with every start of the process and every new target. */
   incarnation: number;
-  /** The service of the target, or of the last one; empty before the first. */
+  /** Service of the current or last target; empty before the first. */
   announcedService = '';
   private announcedTarget: Incarnation | undefined;
-  private wasProbed = false;
+  private hasProbed = false;
 
   /**
-   * @param startedAt wall-clock milliseconds at which the process started
-   * @param parts called once all of them are built
+   * @param startedAt wall-clock time at which the process started, in milliseconds
+   * @param getParts returns the parts; called only after all of them are created
    */
   constructor(
     startedAt: number,
     private readonly logger: Logger,
-    private readonly parts: () => TargetSurroundings,
+    private readonly getParts: () => TargetDependencies,
   ) {
     this.incarnation = startedAt;
   }
 
-  /** The target, its state or its slots may have changed. */
+  /** Called when the target, its state or its slots may have changed. */
   onChanged(): void {
-    const { lease, follower, admission, crashGuard } = this.parts();
+    const { lease, follower, admission, crashGuard } = this.getParts();
     const { current } = lease;
     crashGuard.watch.onTarget(current);
-    const isOther = !isSameTarget(current, this.announcedTarget);
-    if (isOther) this.onOtherTarget(current);
+    const isReplaced = !isSameTarget(current, this.announcedTarget);
+    if (isReplaced) this.onTargetReplaced(current);
     this.announcedTarget = current;
     this.configure();
-    follower.announce(this.isLeaving ? 'leaving' : 'ready', isOther);
+    follower.announce(this.isLeaving ? 'leaving' : 'ready', isReplaced);
     if (lease.isReady) admission.dispatch();
     else admission.refuseWaiting();
   }
 
-  /** Adopts slots and connections, which both the target and the configuration may change. */
+  /** Applies the slots of the target and the connections of its service. */
   configure(): void {
-    const { lease, limiter, instancePool, follower } = this.parts();
+    const { lease, limiter, instancePool, follower } = this.getParts();
     const { current } = lease;
     if (current === undefined) return;
     limiter.setSlots(current.slots);
@@ -76,41 +73,41 @@
   }
 
   /**
-   * Asks the target once for its health, if it has not reported itself yet: without that it stands idle until its next
-   * report after a restart of the sidecar, up to 1.5 s.
+   * Probes the health endpoint of the target once if it has not reported yet. Without the probe, the target would get no
+   * calls after a restart of the sidecar until its next report.
    */
   async probeOnce(): Promise<void> {
-    const { lease, settings, follower, headers } = this.parts();
+    const { lease, settings, follower, headers } = this.getParts();
     const { target: address, service } = settings;
     const path = tableOf(follower).serviceSpec(service).healthCheckPath;
-    if (this.wasProbed || lease.current !== undefined) return;
+    if (this.hasProbed || lease.current !== undefined) return;
     if (address === undefined || address === null || path === undefined) return;
-    this.wasProbed = true;
+    this.hasProbed = true;
     const report = await probeTarget({ address, service, path }, headers);
-    this.logger.info('The target was asked for its health.', { address, found: report?.instance });
+    this.logger.info('Probed the health of the target.', { address, found: report?.instance });
     if (report !== undefined && lease.current === undefined) lease.onReport(report);
   }
 
-  /** Whether the target gets no new work. */
+  /** Whether the target gets no new calls. */
   private get isLeaving(): boolean {
-    const { stopProgress, lease } = this.parts();
+    const { stopProgress, lease } = this.getParts();
     return stopProgress.phase >= StopPhase.Finishing || !lease.isReady;
   }
 
-  private onOtherTarget(current: TargetReport | undefined): void {
+  private onTargetReplaced(current: TargetReport | undefined): void {
     const { logger } = this;
     const left = this.announcedTarget && incarnationName(this.announcedTarget);
     this.incarnation += 1;
     this.onServiceChanged(current?.service ?? '');
     if (current === undefined) logger.info('There is no target now.', { left });
-    else logger.info('The target is another one.', { ...current, left });
+    else logger.info('Using a new target.', { ...current, left });
   }
 
-  /** Arrivals at the target of another service say nothing about this one's budget. */
+  /** Resets the retry budget, which counts the calls of one service. */
   private onServiceChanged(service: string): void {
     if (service === this.announcedService || service === '') return;
     this.announcedService = service;
-    this.parts().retryBudget.reset();
+    this.getParts().retryBudget.reset();
   }
 }
 
