--- a/bench/call-path.ts
+++ b/bench/call-path.ts
@@ -11,8 +11,8 @@
 import { median } from '../lab/experiment/summary.js';
 import { ControlReplicas } from '../lab/fleet/control-replicas.js';
 import { ANY_PORT, ProgramProcess } from '../lab/fleet/program-process.js';
-import { processorMsOf, startBareProxies, startBenchTarget } from './comparison.js';
-import { failOnErrors, LoadSource, quantile } from './load.js';
+import { totalCpuMs, startBareProxies, startBenchTarget } from './comparison.js';
+import { failOnErrors, LoadGenerator, quantile } from './load.js';
 import { runCommand } from './run-command.js';
 import { residentMegabytes } from './process-usage.js';
 
@@ -31,9 +31,9 @@
 }
 
 /** One way from the caller to the target. */
-interface Path {
+interface CallPath {
   readonly name: string;
-  readonly source: LoadSource;
+  readonly load: LoadGenerator;
   /** Processes between caller and target, the caller's side first. */
   readonly hops: readonly MeasuredProcess[];
 }
@@ -42,7 +42,7 @@
 interface RoundResult {
   readonly p50: number;
   readonly p99: number;
-  readonly processorMsPerCall: number;
+  readonly cpuMsPerCall: number;
   readonly callsPerSecond: number;
 }
 
@@ -88,11 +88,11 @@
     control: control.origins,
   });
   await edge.start();
-  await untilServed(edge.origin('listen'));
+  await waitUntilServed(edge.origin('listen'));
   return { control, edge, node };
 }
 
-async function untilServed(origin: string): Promise<void> {
+async function waitUntilServed(origin: string): Promise<void> {
   for (;;) {
     const response = await request(`${origin}/bench/item`);
     await response.body.dump();
@@ -101,17 +101,17 @@
   }
 }
 
-async function measure(path: Path): Promise<RoundResult> {
-  const steady = await path.source.atRate(CALLS_PER_SECOND, CALLS_PER_ROUND);
-  const pids = path.hops.map(({ pid }) => pid);
-  const before = processorMsOf(pids);
-  const full = await path.source.atOnce(SATURATING_CONCURRENCY, SATURATING_CALLS);
-  const after = processorMsOf(pids);
-  failOnErrors(path.name, steady, full);
+async function measure(callPath: CallPath): Promise<RoundResult> {
+  const steady = await callPath.load.runAtRate(CALLS_PER_SECOND, CALLS_PER_ROUND);
+  const pids = callPath.hops.map(({ pid }) => pid);
+  const before = totalCpuMs(pids);
+  const full = await callPath.load.runConcurrently(SATURATING_CONCURRENCY, SATURATING_CALLS);
+  const after = totalCpuMs(pids);
+  failOnErrors(callPath.name, steady, full);
   return {
     p50: quantile(steady.latenciesMs, 0.5),
     p99: quantile(steady.latenciesMs, 0.99),
-    processorMsPerCall: (after - before) / SATURATING_CALLS,
+    cpuMsPerCall: (after - before) / SATURATING_CALLS,
     callsPerSecond: (full.latenciesMs.length * 1_000) / full.durationMs,
   };
 }
@@ -131,7 +131,7 @@
       p99: medianOf(rounds, (round) => round.p99),
       addedP50: added((round) => round.p50),
       addedP99: added((round) => round.p99),
-      processorMsPerCall: medianOf(rounds, (round) => round.processorMsPerCall),
+      cpuMsPerCall: medianOf(rounds, (round) => round.cpuMsPerCall),
       callsPerSecond: medianOf(rounds, (round) => round.callsPerSecond),
     };
   });
@@ -139,7 +139,7 @@
     print(
       `${row.name.padEnd(14)} p50 ${row.p50.toFixed(2)} ms (+${row.addedP50.toFixed(2)}), ` +
         `p99 ${row.p99.toFixed(2)} ms (+${row.addedP99.toFixed(2)}), ` +
-        `${row.processorMsPerCall.toFixed(3)} ms processor a call, ` +
+        `${row.cpuMsPerCall.toFixed(3)} ms processor a call, ` +
         `${row.callsPerSecond.toFixed(0)} calls/s`,
     );
   }
@@ -148,14 +148,14 @@
   print(
     `shoredoor to two bare proxies: added p50 ${ratio(shoredoor.addedP50, bare.addedP50)}, ` +
       `added p99 ${ratio(shoredoor.addedP99, bare.addedP99)}, ` +
-      `processor time ${ratio(shoredoor.processorMsPerCall, bare.processorMsPerCall)}, ` +
+      `processor time ${ratio(shoredoor.cpuMsPerCall, bare.cpuMsPerCall)}, ` +
       `calls/s ${ratio(shoredoor.callsPerSecond, bare.callsPerSecond)}`,
   );
 }
 
-async function measureMemory({ source }: Path, { edge, node }: ProductPath): Promise<void> {
+async function measureMemory({ load }: CallPath, { edge, node }: ProductPath): Promise<void> {
   for (let step = 0; step <= MEMORY_STEPS; step += 1) {
-    if (step > 0) await source.atOnce(SATURATING_CONCURRENCY, MEMORY_CALLS / MEMORY_STEPS);
+    if (step > 0) await load.runConcurrently(SATURATING_CONCURRENCY, MEMORY_CALLS / MEMORY_STEPS);
     const sizes = [edge, node].map(
       ({ id, pid }) => `${id} ${residentMegabytes(pid).toFixed(0)} MB`,
     );
@@ -179,29 +179,29 @@
     const product = await startProduct(workDir, targetOrigin);
     const { edge, node } = product;
     running.push(edge, node, product.control);
-    const ours: Path = {
+    const productCallPath: CallPath = {
       name: 'shoredoor',
-      source: new LoadSource(edge.origin('listen')),
+      load: new LoadGenerator(edge.origin('listen')),
       hops: [edge, node],
     };
-    const paths: Path[] = [
-      { name: 'direct', source: new LoadSource(targetOrigin), hops: [] },
+    const paths: CallPath[] = [
+      { name: 'direct', load: new LoadGenerator(targetOrigin), hops: [] },
       {
         name: 'bare proxies',
-        source: new LoadSource(outer.origin('listen')),
+        load: new LoadGenerator(outer.origin('listen')),
         hops: [outer, inner],
       },
-      ours,
+      productCallPath,
     ];
-    for (const path of paths) await path.source.atOnce(SATURATING_CONCURRENCY, WARMUP_CALLS);
+    for (const path of paths) await path.load.runConcurrently(SATURATING_CONCURRENCY, WARMUP_CALLS);
     const results = new Map<string, RoundResult[]>(paths.map((path) => [path.name, []]));
     for (let round = 0; round < rounds; round += 1) {
       for (const path of paths) results.get(path.name)!.push(await measure(path));
       print(`round ${round + 1} of ${rounds} done`);
     }
     report(results);
-    await measureMemory(ours, product);
-    await Promise.all(paths.map((path) => path.source.close()));
+    await measureMemory(productCallPath, product);
+    await Promise.all(paths.map((path) => path.load.close()));
   } finally {
     await Promise.all(running.map((each) => each.kill()));
   }
--- a/bench/cold-calls.ts
+++ b/bench/cold-calls.ts
@@ -8,35 +8,35 @@
 import { join } from 'node:path';
 import { cac } from 'cac';
 import { median } from '../lab/experiment/summary.js';
-import { processorMsOf, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
-import { LoadSource } from './load.js';
+import { totalCpuMs, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
+import { LoadGenerator } from './load.js';
 import { runCommand } from './run-command.js';
 import { SidecarFleet } from './sidecar-fleet.js';
 
 const CALLS_PER_SECOND = 80;
 /** Ends of the stretches that are told apart, in calls since the start. */
-const STRETCH_ENDS = [100, 400, 1_000, 2_000] as const;
+const INTERVAL_ENDS = [100, 400, 1_000, 2_000] as const;
 
 /** Processor milliseconds a call in each stretch. */
-type StretchCosts = readonly number[];
+type IntervalCosts = readonly number[];
 
-async function measureCalls(origin: string, pids: readonly number[]): Promise<StretchCosts> {
-  const source = new LoadSource(origin, REQUEST_HEADERS);
+async function measureCalls(origin: string, pids: readonly number[]): Promise<IntervalCosts> {
+  const source = new LoadGenerator(origin, REQUEST_HEADERS);
   const costs: number[] = [];
   let done = 0;
-  for (const end of STRETCH_ENDS) {
+  for (const end of INTERVAL_ENDS) {
     const calls = end - done;
-    const from = processorMsOf(pids);
-    const { failed } = await source.atRate(CALLS_PER_SECOND, calls);
+    const from = totalCpuMs(pids);
+    const { failed } = await source.runAtRate(CALLS_PER_SECOND, calls);
     if (failed > calls / 2) throw new Error(`${failed} of ${calls} requests failed`);
-    costs.push((processorMsOf(pids) - from) / calls);
+    costs.push((totalCpuMs(pids) - from) / calls);
     done = end;
   }
   await source.close();
   return costs;
 }
 
-async function measureSidecars(workDir: string, target: string): Promise<StretchCosts> {
+async function measureSidecars(workDir: string, target: string): Promise<IntervalCosts> {
   const fleet = new SidecarFleet(mkdtempSync(join(workDir, 'fleet-')), new URL(target).host);
   try {
     await fleet.start(2);
@@ -48,8 +48,8 @@
   }
 }
 
-function report(name: string, rounds: readonly StretchCosts[]): void {
-  const costs = STRETCH_ENDS.map((end, index) => {
+function report(name: string, rounds: readonly IntervalCosts[]): void {
+  const costs = INTERVAL_ENDS.map((end, index) => {
     const cost = median(rounds.map((round) => round[index]!));
     return `to ${end}: ${cost.toFixed(2)}`;
   });
@@ -62,8 +62,8 @@
   const target = await startBenchTarget(workDir);
   try {
     const origin = target.origin('listen');
-    const proxies: StretchCosts[] = [];
-    const sidecars: StretchCosts[] = [];
+    const proxies: IntervalCosts[] = [];
+    const sidecars: IntervalCosts[] = [];
     for (let round = 0; round < rounds; round += 1) {
       proxies.push(await withBareProxies(workDir, origin, measureCalls));
       sidecars.push(await measureSidecars(workDir, origin));
@@ -82,12 +82,12 @@
   throw new Error(`--rounds takes a whole number above 0: ${value}`);
 }
 
-const LAST_STRETCH_END = STRETCH_ENDS.at(-1)!;
-const SECONDS_A_ROUND = (2 * LAST_STRETCH_END) / CALLS_PER_SECOND;
+const LAST_INTERVAL_END = INTERVAL_ENDS.at(-1)!;
+const SECONDS_PER_ROUND = (2 * LAST_INTERVAL_END) / CALLS_PER_SECOND;
 
 const cli = cac('bench:cold');
 cli
-  .command('', `Measure the first calls of sidecars; a round takes about ${SECONDS_A_ROUND} s`)
+  .command('', `Measure the first calls of sidecars; a round takes about ${SECONDS_PER_ROUND} s`)
   .option('--rounds <count>', 'Starts to measure; the median is told', { default: 1 })
   .action((options: { rounds: string | number }) => run(parseRounds(options.rounds)));
 await runCommand(cli);
--- a/bench/comparison.ts
+++ b/bench/comparison.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { FleetChild } from '../lab/fleet/child-process.js';
-import { processorMs } from './process-usage.js';
+import { cpuMs } from './process-usage.js';
 import { BENCH_HOST } from './sidecar-fleet.js';
 
 const SCRIPTS = {
@@ -14,8 +14,8 @@
 export const REQUEST_HEADERS = { host: BENCH_HOST, 'x-request-id': 'bench' };
 
 /** Processor milliseconds of these processes since their starts. */
-export function processorMsOf(pids: readonly number[]): number {
-  return pids.reduce((sum, pid) => sum + processorMs(pid), 0);
+export function totalCpuMs(pids: readonly number[]): number {
+  return pids.reduce((sum, pid) => sum + cpuMs(pid), 0);
 }
 
 /** Starts the target; its log goes into `workDir`. */
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -16,7 +16,7 @@
 }
 
 /** A path under load. Connections stay open between stretches. */
-export class LoadSource {
+export class LoadGenerator {
   private readonly pool: Pool;
 
   /** @param headers sent with each request */
@@ -28,7 +28,7 @@
   }
 
   /** Sends at a steady rate, whatever comes back. */
-  async atRate(callsPerSecond: number, calls: number): Promise<LoadResult> {
+  async runAtRate(callsPerSecond: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results = await Promise.all(
       Array.from({ length: calls }, async (_, index) => {
@@ -41,13 +41,13 @@
   }
 
   /** Sends as fast as answers come back, a number of requests at a time. */
-  async atOnce(concurrency: number, calls: number): Promise<LoadResult> {
+  async runConcurrently(concurrency: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results: number[] = [];
-    let left = calls;
+    let remaining = calls;
     const worker = async (): Promise<void> => {
-      while (left > 0) {
-        left -= 1;
+      while (remaining > 0) {
+        remaining -= 1;
         results.push(await this.send());
       }
     };
--- a/bench/process-usage.ts
+++ b/bench/process-usage.ts
@@ -8,7 +8,7 @@
 const KILOBYTES_PER_MEGABYTE = 1_024;
 
 /** User and system time since the start, in milliseconds. */
-export function processorMs(pid: number): number {
+export function cpuMs(pid: number): number {
   const text = readFileSync(`/proc/${pid}/stat`, 'utf8');
   // The command name may hold spaces; fields are counted after its closing bracket.
   const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -7,9 +7,9 @@
 import { join } from 'node:path';
 import { cac } from 'cac';
 import { median } from '../lab/experiment/summary.js';
-import { processorMsOf, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
-import { failOnErrors, LoadSource, quantile } from './load.js';
-import { processorMs, residentMegabytes } from './process-usage.js';
+import { totalCpuMs, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
+import { failOnErrors, LoadGenerator, quantile } from './load.js';
+import { cpuMs, residentMegabytes } from './process-usage.js';
 import { runCommand } from './run-command.js';
 import { SidecarFleet } from './sidecar-fleet.js';
 
@@ -23,16 +23,16 @@
  */
 const SETTLE_MS = 25_000;
 const IDLE_MS = 10_000;
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** The figures of one fleet. */
-interface FleetFigures {
+interface FleetCosts {
   readonly size: number;
   readonly startMs: number;
-  readonly startProcessorMs: number;
+  readonly startCpuMs: number;
   /** Processor milliseconds a second of one idle sidecar. */
   readonly idleMsPerSecond: number;
-  readonly processorMsPerCall: number;
+  readonly cpuMsPerCall: number;
   readonly p50Ms: number;
   readonly megabytes: number;
 }
@@ -41,33 +41,33 @@
   return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
 
-async function measureFleet(workDir: string, target: string, size: number): Promise<FleetFigures> {
+async function measureFleet(workDir: string, target: string, size: number): Promise<FleetCosts> {
   const fleet = new SidecarFleet(workDir, new URL(target).host);
   try {
     await fleet.start(size);
     const pids = fleet.sidecars.map(({ process }) => process.pid);
-    const startProcessorMs = median(pids.map(processorMs));
+    const startCpuMs = median(pids.map(cpuMs));
     await sleep(SETTLE_MS);
-    const idleFrom = processorMsOf(pids);
+    const idleFrom = totalCpuMs(pids);
     await sleep(IDLE_MS);
-    const idleMsPerSecond = ((processorMsOf(pids) - idleFrom) * MILLISECONDS) / IDLE_MS / size;
+    const idleMsPerSecond = ((totalCpuMs(pids) - idleFrom) * MS_PER_SECOND) / IDLE_MS / size;
     const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.process;
-    const source = new LoadSource(ingress.origin('outbound'), REQUEST_HEADERS);
+    const source = new LoadGenerator(ingress.origin('outbound'), REQUEST_HEADERS);
     // A gate that has just started lets in no more than it has seen answered: the first calls come one by one.
-    await source.atOnce(1, FIRST_CALLS);
-    failOnErrors('warm-up', await source.atOnce(CONCURRENCY, WARMUP_CALLS));
-    const callsFrom = processorMsOf(pids);
-    const load = await source.atOnce(CONCURRENCY, MEASURED_CALLS);
+    await source.runConcurrently(1, FIRST_CALLS);
+    failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
+    const callsFrom = totalCpuMs(pids);
+    const load = await source.runConcurrently(CONCURRENCY, MEASURED_CALLS);
     failOnErrors('sidecars', load);
-    const idleMs = (idleMsPerSecond * size * load.durationMs) / MILLISECONDS;
-    const processorMsPerCall = (processorMsOf(pids) - callsFrom - idleMs) / MEASURED_CALLS;
+    const idleMs = (idleMsPerSecond * size * load.durationMs) / MS_PER_SECOND;
+    const cpuMsPerCall = (totalCpuMs(pids) - callsFrom - idleMs) / MEASURED_CALLS;
     await source.close();
     return {
       size,
       startMs: median(fleet.sidecars.map(({ startMs }) => startMs)),
-      startProcessorMs,
+      startCpuMs,
       idleMsPerSecond,
-      processorMsPerCall,
+      cpuMsPerCall,
       p50Ms: quantile(load.latenciesMs, 0.5),
       megabytes: median(pids.map(residentMegabytes)),
     };
@@ -78,22 +78,22 @@
 
 /** Processor milliseconds a call of the processes behind `origin`. */
 async function measureProxies(origin: string, pids: readonly number[]): Promise<number> {
-  const source = new LoadSource(origin, REQUEST_HEADERS);
-  failOnErrors('warm-up', await source.atOnce(CONCURRENCY, WARMUP_CALLS));
-  const from = processorMsOf(pids);
-  failOnErrors('bare proxies', await source.atOnce(CONCURRENCY, MEASURED_CALLS));
-  const perCall = (processorMsOf(pids) - from) / MEASURED_CALLS;
+  const source = new LoadGenerator(origin, REQUEST_HEADERS);
+  failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
+  const from = totalCpuMs(pids);
+  failOnErrors('bare proxies', await source.runConcurrently(CONCURRENCY, MEASURED_CALLS));
+  const perCall = (totalCpuMs(pids) - from) / MEASURED_CALLS;
   await source.close();
   return perCall;
 }
 
-function report(figures: FleetFigures, bareMsPerCall: number): void {
-  const ratio = (figures.processorMsPerCall / bareMsPerCall).toFixed(2);
+function report(figures: FleetCosts, bareMsPerCall: number): void {
+  const ratio = (figures.cpuMsPerCall / bareMsPerCall).toFixed(2);
   process.stdout.write(
     `${figures.size} sidecars: start ${figures.startMs.toFixed(0)} ms ` +
-      `(${figures.startProcessorMs.toFixed(0)} ms processor), ` +
+      `(${figures.startCpuMs.toFixed(0)} ms processor), ` +
       `idle ${figures.idleMsPerSecond.toFixed(1)} ms processor a second, ` +
-      `call ${figures.processorMsPerCall.toFixed(3)} ms processor (${ratio} of two bare proxies), ` +
+      `call ${figures.cpuMsPerCall.toFixed(3)} ms processor (${ratio} of two bare proxies), ` +
       `p50 ${figures.p50Ms.toFixed(2)} ms, ${figures.megabytes.toFixed(0)} MB\n`,
   );
 }
--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -29,7 +29,7 @@
   readonly sidecars: MeasuredSidecar[] = [];
   private control: ProgramProcess | undefined;
   private controlOrigin = '';
-  private reports: NodeJS.Timeout | undefined;
+  private reportTimer: NodeJS.Timeout | undefined;
   private sequence = 0;
 
   /** @param targetAddress `HOST:PORT` of the target that all sidecars have */
@@ -44,12 +44,12 @@
     await this.declare();
     for (let index = 0; index < count; index += 1) await this.startSidecar(index);
     await this.reportTargets();
-    this.reports = setInterval(() => void this.reportTargets(), REPORT_INTERVAL_MS);
+    this.reportTimer = setInterval(() => void this.reportTargets(), REPORT_INTERVAL_MS);
   }
 
   /** Ends every process that was started here. */
   async kill(): Promise<void> {
-    clearInterval(this.reports);
+    clearInterval(this.reportTimer);
     await Promise.all(this.sidecars.map(({ process }) => process.kill()));
     await this.control?.kill();
   }
--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -38,7 +38,7 @@
   seed: number,
   listener?: FleetRunListener,
 ): Promise<ExperimentReport> {
-  checkRunsAsFleet(scenario);
+  checkRunnableAsFleet(scenario);
   const workDir = mkdtempSync(join(tmpdir(), 'shoredoor-fleet-'));
   const fleet = await Fleet.start({
     deployment: loaded.deployment,
@@ -66,7 +66,7 @@
     await wait(clock, scenario.durationMs);
     callers.stop();
     await wait(clock, scenario.callers.patienceMs);
-    const executions = fleet.executions(clock.startedAtAbsolute);
+    const executions = fleet.executions(clock.startedAtEpochMs);
     const records = { requests: callers.records, executions };
     return evaluateRun(scenario, loaded, seed, 'fleet', records);
   } finally {
@@ -75,7 +75,7 @@
   }
 }
 
-function checkRunsAsFleet({ faults: planned, mechanisms }: Scenario): void {
+function checkRunnableAsFleet({ faults: planned, mechanisms }: Scenario): void {
   const faults = planned.flatMap(({ type }, index) =>
     SIMULATED_ONLY.includes(type)
       ? [{ path: `faults[${index}].type`, message: `'${type}' runs in mode simulate only` }]
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -54,7 +54,7 @@
     mkdirSync(options.workDir, { recursive: true });
     const { zones } = options.deployment;
     const zonesOfControl = Array.from({ length: CONTROL_REPLICAS }, (_, index) =>
-      inTurn(zones, index),
+      roundRobin(zones, index),
     );
     const control = await ControlReplicas.start(options.workDir, zonesOfControl);
     const fleet = new Fleet(options, control);
@@ -192,7 +192,7 @@
     const { deployment, edges, workDir } = this.options;
     for (let index = 0; index < edges; index += 1) {
       const edge = new ProgramProcess(`edge-${index + 1}`, 'edge', workDir, {
-        zone: inTurn(deployment.zones, index),
+        zone: roundRobin(deployment.zones, index),
         listen: ANY_PORT,
         control: this.control.origins,
       });
@@ -228,6 +228,6 @@
   return response.statusCode === 200;
 }
 
-function inTurn(zones: readonly string[], index: number): string {
+function roundRobin(zones: readonly string[], index: number): string {
   return zones[index % zones.length]!;
 }
--- a/lab/fleet/run-clock.ts
+++ b/lab/fleet/run-clock.ts
@@ -5,7 +5,7 @@
   private readonly base = new SystemClock();
   private readonly startedAt = this.base.now();
   /** Absolute milliseconds of the start. */
-  readonly startedAtAbsolute = performance.timeOrigin + this.startedAt;
+  readonly startedAtEpochMs = performance.timeOrigin + this.startedAt;
 
   now(): number {
     return this.base.now() - this.startedAt;
--- a/lab/process/backend-process.ts
+++ b/lab/process/backend-process.ts
@@ -43,7 +43,7 @@
   const recordDescriptor = recordFile === undefined ? undefined : openSync(recordFile, 'a');
   const clock = new SystemClock();
   const agent = new Agent({ connections: 64, headersTimeout: 0, bodyTimeout: 0 });
-  const traceOf = new Map<string, string>();
+  const traceparentOf = new Map<string, string>();
   let outboundOrigin = '';
 
   const callOut = (
@@ -53,7 +53,7 @@
   ): Cancellable => {
     const abort = new AbortController();
     const root = labId.slice(0, labId.lastIndexOf('/'));
-    const trace = service.passesContext ? traceOf.get(root) : undefined;
+    const trace = service.passesContext ? traceparentOf.get(root) : undefined;
     request(outboundOrigin + call.path, {
       method: call.method,
       dispatcher: agent,
@@ -83,7 +83,7 @@
     const labId = String(message.headers[LAB_ID_HEADER] ?? 'unnamed');
     const remainingMs = Number(message.headers[DEADLINE_HEADER] ?? DEFAULT_DEADLINE_MS);
     const { traceparent } = message.headers;
-    if (typeof traceparent === 'string') traceOf.set(labId, traceparent);
+    if (typeof traceparent === 'string') traceparentOf.set(labId, traceparent);
     message.resume();
     const call = model.accept(
       {
@@ -99,12 +99,15 @@
       },
     );
     response.once('close', () => {
-      traceOf.delete(labId);
+      traceparentOf.delete(labId);
       if (!response.writableFinished) call?.cancel();
     });
   };
 
-  const obey = async (message: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleCommand = async (
+    message: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
     const chunks: Buffer[] = [];
     for await (const chunk of message) chunks.push(chunk as Buffer);
     const text = Buffer.concat(chunks).toString('utf8');
@@ -118,7 +121,7 @@
   };
 
   const server = createServer((message, response) => {
-    if (message.url?.startsWith('/lab/') === true) void obey(message, response);
+    if (message.url?.startsWith('/lab/') === true) void handleCommand(message, response);
     else serve(message, response);
   });
   server.keepAliveTimeout = 30_000;
--- a/lab/process/http-attempt-sender.ts
+++ b/lab/process/http-attempt-sender.ts
@@ -11,7 +11,7 @@
 import { LAB_ID_HEADER } from './backend-process.js';
 
 const MAX_CONNECTIONS = 1_024;
-const BROKEN: AttemptAnswer = {
+const NO_ANSWER: AttemptAnswer = {
   status: 0,
   verdict: undefined,
   retryAfterSeconds: 0,
@@ -21,15 +21,15 @@
 /** A sender that spreads attempts over edges in turn. */
 export function createHttpSender(edgeOrigins: readonly string[]): AttemptSender {
   const agent = new Agent({ connections: MAX_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 });
-  let turn = 0;
+  let nextEdge = 0;
   return (attempt, done) => {
-    const origin = edgeOrigins[turn % edgeOrigins.length]!;
-    turn += 1;
+    const origin = edgeOrigins[nextEdge % edgeOrigins.length]!;
+    nextEdge += 1;
     const abort = new AbortController();
     let cancelled = false;
     const timer = setTimeout(() => abort.abort(), attempt.timeoutMs);
     sendAttempt(origin, attempt, agent, abort.signal)
-      .catch(() => BROKEN)
+      .catch(() => NO_ANSWER)
       .then((answer) => {
         clearTimeout(timer);
         if (!cancelled) done(answer);
--- a/lab/soak/crash-plan.ts
+++ b/lab/soak/crash-plan.ts
@@ -6,7 +6,7 @@
 import {
   drawTimes,
   FaultKind,
-  randomOfPlan,
+  createPlanRandom,
   REPLICAS,
   type PlannedFault,
   type SoakPlan,
@@ -18,7 +18,7 @@
 const FIRST_FAULT_MS = 1_000;
 const FAULT_GAP_MS = 2_500;
 /** The calm begins this long before the end, in milliseconds. */
-const CALM_MS = 9_000;
+const FAULT_FREE_END_MS = 9_000;
 const DEADLINE_MS = 2_500;
 const DEADLY_KINDS: readonly FaultKind[] = [FaultKind.DeadlyRequest, FaultKind.DeadlyCall];
 const OTHER_KINDS: readonly FaultKind[] = [
@@ -31,8 +31,8 @@
 
 /** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
 export function drawCrashPlan(seed: number, durationMs: number): SoakPlan {
-  const random = randomOfPlan(seed);
-  const untilMs = durationMs - CALM_MS;
+  const random = createPlanRandom(seed);
+  const untilMs = durationMs - FAULT_FREE_END_MS;
   return {
     seed,
     services: [
@@ -45,15 +45,15 @@
     timeoutMs: DEADLINE_MS,
     nestedDeadlineMs: DEADLINE_MS,
     durationMs,
-    calmMs: CALM_MS,
-    faults: [...drawDeadly(random, untilMs), ...drawOthers(random, untilMs)],
+    calmMs: FAULT_FREE_END_MS,
+    faults: [...drawDeadlyFaults(random, untilMs), ...drawOtherFaults(random, untilMs)],
     changesAtMs: [],
     hasUniqueRequests: true,
   };
 }
 
 /** One or two deadly requests, each until the calm begins. */
-function drawDeadly(random: RandomSource, untilMs: number): PlannedFault[] {
+function drawDeadlyFaults(random: RandomSource, untilMs: number): PlannedFault[] {
   return Array.from({ length: 1 + random.below(2) }, (_, index) => {
     const atMs = FIRST_FAULT_MS + random.below(3_000);
     return {
@@ -67,7 +67,7 @@
   });
 }
 
-function drawOthers(random: RandomSource, untilMs: number): PlannedFault[] {
+function drawOtherFaults(random: RandomSource, untilMs: number): PlannedFault[] {
   return drawTimes(random, FIRST_FAULT_MS, untilMs, FAULT_GAP_MS).map((atMs) => ({
     kind: OTHER_KINDS[random.below(OTHER_KINDS.length)]!,
     atMs,
--- a/lab/soak/deadly-client.ts
+++ b/lab/soak/deadly-client.ts
@@ -7,12 +7,12 @@
 import { FaultKind, type PlannedFault } from './soak-plan.js';
 
 /** Begins the last part of the path of a request that crashes what runs it. */
-export const DEADLY_MARK = 'deadly-';
+export const DEADLY_PREFIX = 'deadly-';
 /** Begins that of a request whose run makes such calls. */
-export const CALLS_DEADLY_MARK = 'calls-';
+export const CALLS_DEADLY_PREFIX = 'calls-';
 
 /** What the sender works with. */
-export interface DeadlyWorld {
+export interface DeadlyClientContext {
   readonly random: RandomSource;
   readonly machines: readonly SoakMachine[];
   readonly deadlineMs: number;
@@ -22,11 +22,11 @@
 export class DeadlyClient {
   private sent = 0;
 
-  constructor(private readonly world: DeadlyWorld) {}
+  constructor(private readonly context: DeadlyClientContext) {}
 
   /** Sends the request of a fault until its time is over. */
   async run(fault: PlannedFault): Promise<void> {
-    const { now, random, machines } = this.world;
+    const { now, random, machines } = this.context;
     const untilMs = now() + fault.forMs;
     while (now() < untilMs) {
       void this.send(machines[random.below(machines.length)]!, fault);
@@ -35,16 +35,16 @@
   }
 
   private async send({ outbound }: SoakMachine, { kind, victim }: PlannedFault): Promise<void> {
-    const last = DEADLY_MARK + victim;
-    const path = kind === FaultKind.DeadlyCall ? CALLS_DEADLY_MARK + last : last;
+    const last = DEADLY_PREFIX + victim;
+    const path = kind === FaultKind.DeadlyCall ? CALLS_DEADLY_PREFIX + last : last;
     try {
       const response = await request(outbound + READ_PATH + path, {
         headers: {
           host: SOAK_HOST,
           [DEFAULT_TARGET_HEADERS.requestId]: `${last}-${(this.sent += 1)}`,
-          [DEFAULT_TARGET_HEADERS.deadlineMs]: String(this.world.deadlineMs),
+          [DEFAULT_TARGET_HEADERS.deadlineMs]: String(this.context.deadlineMs),
         },
-        signal: AbortSignal.timeout(this.world.deadlineMs),
+        signal: AbortSignal.timeout(this.context.deadlineMs),
       });
       await response.body.dump();
     } catch {
--- a/lab/soak/loopback-proxy.ts
+++ b/lab/soak/loopback-proxy.ts
@@ -15,7 +15,7 @@
   /** Client's side of every connection, with the server's side while it is known there. */
   private readonly connections = new Map<Socket, Socket | undefined>();
 
-  private readonly silent = new Map<Socket, SilentDirections>();
+  private readonly silenced = new Map<Socket, SilentDirections>();
 
   private constructor(
     private readonly server: Server,
@@ -46,7 +46,7 @@
 
   /** What is sent on the open connections vanishes from now on, in the directions given. */
   silence(directions: SilentDirections): void {
-    for (const client of this.connections.keys()) this.silent.set(client, directions);
+    for (const client of this.connections.keys()) this.silenced.set(client, directions);
   }
 
   /** Resets all open connections on both sides. */
@@ -70,10 +70,10 @@
     this.connections.set(client, upstream);
     const isKnown = (): boolean => this.connections.get(client) !== undefined;
     client.on('data', (bytes) => {
-      if (this.silent.get(client)?.toServer !== true) upstream.write(bytes);
+      if (this.silenced.get(client)?.toServer !== true) upstream.write(bytes);
     });
     upstream.on('data', (bytes) => {
-      if (isKnown() && this.silent.get(client)?.toClient !== true) client.write(bytes);
+      if (isKnown() && this.silenced.get(client)?.toClient !== true) client.write(bytes);
     });
     for (const side of [client, upstream]) {
       // The other side hears of it by the close that follows.
@@ -81,7 +81,7 @@
     }
     client.on('close', () => {
       this.connections.delete(client);
-      this.silent.delete(client);
+      this.silenced.delete(client);
       upstream.destroy();
     });
     upstream.on('close', () => {
--- a/lab/soak/run-soak.ts
+++ b/lab/soak/run-soak.ts
@@ -14,7 +14,7 @@
 import { isVersionInForce, nestedPath, SOAK_HOST, SoakOperator } from './soak-operator.js';
 import type { PlannedFault, SoakPlan } from './soak-plan.js';
 import { Check, SoakRecord, type Violation } from './soak-record.js';
-import { SoakTarget, type TargetWorld } from './soak-target.js';
+import { SoakTarget, type TargetContext } from './soak-target.js';
 
 /** How a run went. */
 export interface SoakResult {
@@ -30,15 +30,15 @@
 const PLAN_FILE = 'plan.json';
 const REPORT_INTERVAL_MS = 500;
 /** Traffic starts once all know each other, and which routes targets call; in milliseconds. */
-const LEAD_MS = 4_000;
+const WARMUP_MS = 4_000;
 /** Requests under way at the end are waited for. */
 const SETTLE_MS = 3_000;
 /** An accepted change is in force after this long on every machine that nothing is wrong with. */
 const IN_FORCE_MS = 2_000;
 /** Machines that something was wrong with so lately are not asked, in milliseconds. */
-const TOUCH_MS = 4_000;
-const LEAST_SERVED = 0.5;
-const LEAST_SERVED_AT_END = 0.9;
+const FAULT_FREE_MS = 4_000;
+const MIN_SUCCESS_RATIO = 0.5;
+const MIN_SUCCESS_RATIO_AT_END = 0.9;
 /** Part of the calm end in which things may still recover, in milliseconds. */
 const RECOVERY_MS = 4_000;
 
@@ -53,10 +53,12 @@
   const fleet = await SoakFleet.start(plan, workDir);
   const run = new SoakRun(plan, fleet);
   try {
-    const violations = await run.play();
-    const chances = new Map(Object.values(Check).map((each) => [each, run.record.chancesOf(each)]));
+    const violations = await run.execute();
+    const chances = new Map(
+      Object.values(Check).map((each) => [each, run.record.checkCountOf(each)]),
+    );
     if (violations.length === 0) rmSync(workDir, { recursive: true });
-    return { violations, chances, servedPart: run.record.servedPart, workDir };
+    return { violations, chances, servedPart: run.record.successRatio, workDir };
   } finally {
     await run.end();
     await fleet.end();
@@ -70,8 +72,8 @@
   private readonly clients: SoakClients[] = [];
   private readonly operator: SoakOperator;
   private readonly faults: SoakFaults;
-  private readonly busy = new Map<number, number>();
-  private reports: NodeJS.Timeout | undefined;
+  private readonly lastFaultAt = new Map<number, number>();
+  private reportTimer: NodeJS.Timeout | undefined;
   private sequence = 0;
   private isOver = false;
 
@@ -91,29 +93,32 @@
     this.faults = new SoakFaults({ fleet, targets, record, deadly, now });
   }
 
-  async play(): Promise<Violation[]> {
+  async execute(): Promise<Violation[]> {
     const { plan, record } = this;
     await this.startTargets();
     await this.operator.declareNext();
     this.startClients();
-    await this.until(LEAD_MS);
+    await this.waitUntil(WARMUP_MS);
     const from = this.now();
-    const under = [...plan.faults.map((fault) => this.injectAt(fault, from)), this.change(from)];
-    await this.until(from + plan.durationMs);
+    const pending = [
+      ...plan.faults.map((fault) => this.injectAt(fault, from)),
+      this.changeConfiguration(from),
+    ];
+    await this.waitUntil(from + plan.durationMs);
     this.isOver = true;
-    await Promise.all(under);
-    await this.until(this.now() + Math.max(SETTLE_MS, plan.clientDeadlineMs));
+    await Promise.all(pending);
+    await this.waitUntil(this.now() + Math.max(SETTLE_MS, plan.clientDeadlineMs));
     return record.violations({
       retries: RETRY_BOUND,
-      leastServed: LEAST_SERVED,
-      leastServedAtEnd: LEAST_SERVED_AT_END,
+      minSuccessRatio: MIN_SUCCESS_RATIO,
+      minSuccessRatioAtEnd: MIN_SUCCESS_RATIO_AT_END,
       recoveredAt: from + plan.durationMs - plan.calmMs + RECOVERY_MS,
     });
   }
 
   async end(): Promise<void> {
     this.isOver = true;
-    clearInterval(this.reports);
+    clearInterval(this.reportTimer);
     await Promise.all(this.clients.map((each) => each.end()));
     for (const target of this.targets) target.stop();
   }
@@ -122,17 +127,17 @@
     return performance.now() - this.startedAt;
   }
 
-  private async until(atMs: number): Promise<void> {
+  private async waitUntil(atMs: number): Promise<void> {
     await new Promise((resolve) => setTimeout(resolve, Math.max(0, atMs - this.now())));
   }
 
   private async startTargets(): Promise<void> {
-    const world: TargetWorld = {
+    const context: TargetContext = {
       random: new SeededRandom(this.plan.seed + 1),
       record: this.record,
       now: () => this.now(),
-      inherited: new Set(),
-      arrived: new Set(),
+      repeatedIds: new Set(),
+      seenIds: new Set(),
       host: SOAK_HOST,
       nestedDeadlineMs: this.plan.nestedDeadlineMs,
     };
@@ -140,10 +145,10 @@
     for (const { index, service, outbound } of this.fleet.machines) {
       const next = services[services.indexOf(service) + 1];
       const nextPath = next === undefined ? undefined : nestedPath(next);
-      const place = { machine: index, service, nextPath, outboundOrigin: outbound };
-      this.targets.push(await SoakTarget.start(world, place));
+      const options = { machine: index, service, nextPath, outboundOrigin: outbound };
+      this.targets.push(await SoakTarget.start(context, options));
     }
-    this.reports = setInterval(() => this.reportTargets(), REPORT_INTERVAL_MS);
+    this.reportTimer = setInterval(() => this.reportTargets(), REPORT_INTERVAL_MS);
     this.reportTargets();
   }
 
@@ -169,7 +174,7 @@
   }
 
   private startClients(): void {
-    const world = {
+    const context = {
       random: new SeededRandom(this.plan.seed + 2),
       record: this.record,
       now: () => this.now(),
@@ -178,36 +183,42 @@
       hasUniqueRequests: this.plan.hasUniqueRequests === true,
     };
     for (const machine of this.fleet.machines) {
-      const clients = new SoakClients(world, machine, this.plan.perSecond);
+      const clients = new SoakClients(context, machine, this.plan.perSecond);
       this.clients.push(clients);
       clients.start();
     }
   }
 
   private async injectAt(fault: PlannedFault, from: number): Promise<void> {
-    await this.until(from + fault.atMs);
+    await this.waitUntil(from + fault.atMs);
     const index = fault.victim % this.fleet.machines.length;
-    this.busy.set(index, Infinity);
+    this.lastFaultAt.set(index, Infinity);
     await this.faults.inject(fault);
-    this.busy.set(index, this.now());
+    this.lastFaultAt.set(index, this.now());
   }
 
-  private async change(from: number): Promise<void> {
+  private async changeConfiguration(from: number): Promise<void> {
     for (const atMs of this.plan.changesAtMs) {
-      await this.until(from + atMs);
+      await this.waitUntil(from + atMs);
       const version = await this.operator.declareNext();
       if (version === undefined) return;
       const acceptedAt = this.now();
-      await this.until(acceptedAt + IN_FORCE_MS);
-      await Promise.all(this.fleet.machines.map((machine) => this.ask(machine, version)));
+      await this.waitUntil(acceptedAt + IN_FORCE_MS);
+      await Promise.all(
+        this.fleet.machines.map((machine) => this.checkConfiguration(machine, version)),
+      );
     }
   }
 
-  private async ask({ index, outbound }: SoakMachine, version: number): Promise<void> {
-    const isInTouch = (): boolean => this.now() - (this.busy.get(index) ?? -Infinity) > TOUCH_MS;
-    if (!isInTouch()) return;
+  private async checkConfiguration(
+    { index, outbound }: SoakMachine,
+    version: number,
+  ): Promise<void> {
+    const isFaultFree = (): boolean =>
+      this.now() - (this.lastFaultAt.get(index) ?? -Infinity) > FAULT_FREE_MS;
+    if (!isFaultFree()) return;
     const isInForce = await isVersionInForce(outbound, version, `v${version}-m${index}`);
-    if (isInForce === undefined || !isInTouch()) return;
+    if (isInForce === undefined || !isFaultFree()) return;
     this.record.onConfigurationRead(isInForce, `version ${version} at machine ${index}`);
   }
 }
--- a/lab/soak/soak-clients.ts
+++ b/lab/soak/soak-clients.ts
@@ -2,18 +2,18 @@
 import { Agent, request } from 'undici';
 import { exponential, type RandomSource } from '../../src/common/random.js';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
-import { noAnswer, wholeAnswer, type ExchangeEnd } from './exchange-end.js';
+import { failedExchange, readResponse, type ExchangeResult } from './exchange-end.js';
 import type { SoakMachine } from './soak-fleet.js';
 import { PLACE_PATH, READ_PATH, SOAK_HOST } from './soak-operator.js';
 import type { SoakRecord } from './soak-record.js';
 
-const MILLISECONDS = 1_000;
-const ONCE_PART = 0.3;
+const MS_PER_SECOND = 1_000;
+const AT_MOST_ONCE_RATIO = 0.3;
 /** Of the requests, where some come once only. */
 const UNIQUE_EVERY = 3;
 
 /** What the clients of a run share. */
-export interface ClientWorld {
+export interface ClientContext {
   readonly random: RandomSource;
   readonly record: SoakRecord;
   readonly now: () => number;
@@ -30,16 +30,16 @@
   private sent = 0;
 
   constructor(
-    private readonly world: ClientWorld,
+    private readonly context: ClientContext,
     private readonly machine: SoakMachine,
     private readonly perSecond: number,
   ) {}
 
   /** Sends requests until the run is over. */
   start(): void {
-    const gapMs = exponential(this.world.random, MILLISECONDS / this.perSecond);
+    const gapMs = exponential(this.context.random, MS_PER_SECOND / this.perSecond);
     setTimeout(() => {
-      if (this.world.isOver()) return;
+      if (this.context.isOver()) return;
       this.start();
       void this.send();
     }, gapMs);
@@ -50,41 +50,44 @@
   }
 
   private async send(): Promise<void> {
-    const { random, record, now, deadlineMs } = this.world;
+    const { random, record, now, deadlineMs } = this.context;
     const { index: machine, outbound } = this.machine;
-    const isOnce = random.next() < ONCE_PART;
+    const isAtMostOnce = random.next() < AT_MOST_ONCE_RATIO;
     const id = `c${machine}-${(this.sent += 1)}`;
     const sentAt = now();
-    if (isOnce) record.onOnceSent(id);
-    const last = this.world.hasUniqueRequests && this.sent % UNIQUE_EVERY === 0 ? id : '1';
-    const answer = await this.exchange(`${outbound}${isOnce ? PLACE_PATH : READ_PATH}${last}`, {
-      id,
-      isOnce,
-    });
+    if (isAtMostOnce) record.onAtMostOnceSent(id);
+    const last = this.context.hasUniqueRequests && this.sent % UNIQUE_EVERY === 0 ? id : '1';
+    const answer = await this.exchange(
+      `${outbound}${isAtMostOnce ? PLACE_PATH : READ_PATH}${last}`,
+      {
+        id,
+        isAtMostOnce: isAtMostOnce,
+      },
+    );
     const endedAt = now();
-    record.onEnding({ id, machine, isNested: false, deadlineMs, sentAt, endedAt, ...answer });
+    record.onRequestEnded({ id, machine, isNested: false, deadlineMs, sentAt, endedAt, ...answer });
   }
 
   private async exchange(
     url: string,
-    { id, isOnce }: { id: string; isOnce: boolean },
-  ): Promise<ExchangeEnd> {
-    const { deadlineMs } = this.world;
+    { id, isAtMostOnce }: { id: string; isAtMostOnce: boolean },
+  ): Promise<ExchangeResult> {
+    const { deadlineMs } = this.context;
     try {
       const response = await request(url, {
         dispatcher: this.agent,
-        method: isOnce ? 'POST' : 'GET',
+        method: isAtMostOnce ? 'POST' : 'GET',
         headers: {
           host: SOAK_HOST,
           [DEFAULT_TARGET_HEADERS.requestId]: id,
           [DEFAULT_TARGET_HEADERS.deadlineMs]: String(deadlineMs),
         },
-        body: isOnce ? 'an order' : null,
+        body: isAtMostOnce ? 'an order' : null,
         signal: AbortSignal.timeout(deadlineMs),
       });
-      return await wholeAnswer(response);
+      return await readResponse(response);
     } catch (error) {
-      return noAnswer(error);
+      return failedExchange(error);
     }
   }
 }
--- a/lab/soak/soak-faults.ts
+++ b/lab/soak/soak-faults.ts
@@ -3,16 +3,16 @@
 import type { DeadlyClient } from './deadly-client.js';
 import type { SoakFleet, SoakMachine, SoakReplica } from './soak-fleet.js';
 import { GRACE_MS } from './soak-fleet.js';
-import { FaultKind, isOnControl, type PlannedFault } from './soak-plan.js';
+import { FaultKind, isControlFault, type PlannedFault } from './soak-plan.js';
 import type { SoakRecord } from './soak-record.js';
 import type { SoakTarget } from './soak-target.js';
 
-const SLOWNESS = 6;
+const SLOWDOWN_FACTOR = 6;
 /** A fault may show this long after its end, in milliseconds. */
 const AFTERMATH_MS = 4_000;
 
 /** What faults act on. */
-export interface FaultWorld {
+export interface FaultContext {
   readonly fleet: SoakFleet;
   readonly targets: readonly SoakTarget[];
   readonly record: SoakRecord;
@@ -22,23 +22,23 @@
 
 export class SoakFaults {
   /** Processes that a fault has hold of: another one does not touch them meanwhile. */
-  private readonly held = new Set<object>();
+  private readonly affected = new Set<object>();
 
-  constructor(private readonly world: FaultWorld) {}
+  constructor(private readonly context: FaultContext) {}
 
   /** Injects one fault and resolves when it is over. @returns false where its victim was held by another */
   async inject(fault: PlannedFault): Promise<boolean> {
     const { machine, replica, target } = this.victimsOf(fault);
-    const victim = this.victimOf(fault, machine);
-    if (this.held.has(victim)) return false;
-    this.held.add(victim);
-    const fromMs = this.world.now();
+    const victim = this.lockOf(fault, machine);
+    if (this.affected.has(victim)) return false;
+    this.affected.add(victim);
+    const fromMs = this.context.now();
     const isPlanned =
       fault.kind === FaultKind.StopSidecar || fault.kind === FaultKind.ReloadSidecar;
-    if (!isPlanned) this.disturb(machine, fromMs, fromMs + fault.forMs + AFTERMATH_MS);
-    await this.act(fault, machine, replica, target);
-    if (!isPlanned) this.disturb(machine, fromMs, this.world.now() + AFTERMATH_MS);
-    this.held.delete(victim);
+    if (!isPlanned) this.recordDisturbance(machine, fromMs, fromMs + fault.forMs + AFTERMATH_MS);
+    await this.apply(fault, machine, replica, target);
+    if (!isPlanned) this.recordDisturbance(machine, fromMs, this.context.now() + AFTERMATH_MS);
+    this.affected.delete(victim);
     return true;
   }
 
@@ -47,23 +47,23 @@
     replica: SoakReplica;
     target: SoakTarget;
   } {
-    const { fleet, targets } = this.world;
+    const { fleet, targets } = this.context;
     const machine = fleet.machines[victim % fleet.machines.length]!;
     const replica = fleet.replicas[victim % fleet.replicas.length]!;
     return { machine, replica, target: targets[machine.index]! };
   }
 
   /** What a fault takes hold of; control replicas together, so that most of them are there at any time. */
-  private victimOf({ kind }: PlannedFault, machine: SoakMachine): object {
+  private lockOf({ kind }: PlannedFault, machine: SoakMachine): object {
     if (kind === FaultKind.DeadlyRequest || kind === FaultKind.DeadlyCall) return {};
-    return isOnControl(kind) ? this.world.fleet.replicas : machine.process;
+    return isControlFault(kind) ? this.context.fleet.replicas : machine.process;
   }
 
-  private disturb(machine: SoakMachine, fromMs: number, untilMs: number): void {
-    this.world.record.onDisturbance({ machine: machine.index, fromMs, untilMs });
+  private recordDisturbance(machine: SoakMachine, fromMs: number, untilMs: number): void {
+    this.context.record.onDisturbance({ machine: machine.index, fromMs, untilMs });
   }
 
-  private async act(
+  private async apply(
     fault: PlannedFault,
     machine: SoakMachine,
     replica: SoakReplica,
@@ -119,18 +119,18 @@
         return;
       case FaultKind.DeadlyRequest:
       case FaultKind.DeadlyCall:
-        await this.world.deadly.run(fault);
+        await this.context.deadly.run(fault);
         return;
       case FaultKind.SlowTargets:
-        misbehaviour.slowness = SLOWNESS;
+        misbehaviour.slowdownFactor = SLOWDOWN_FACTOR;
         await pause(forMs);
-        misbehaviour.slowness = 1;
+        misbehaviour.slowdownFactor = 1;
     }
   }
 
   private async stopSidecar(machine: SoakMachine, restartAfterMs: number): Promise<void> {
-    const fromMs = this.world.now();
-    this.world.record.onStop({ machine: machine.index, fromMs, untilMs: fromMs + GRACE_MS });
+    const fromMs = this.context.now();
+    this.context.record.onStop({ machine: machine.index, fromMs, untilMs: fromMs + GRACE_MS });
     await this.stop(machine.process);
     await pause(restartAfterMs);
     await machine.process.start();
@@ -138,7 +138,7 @@
 
   private async stop(process: ProgramProcess): Promise<void> {
     const exitCode = await process.stop(GRACE_MS);
-    this.world.record.onStopped(process.id, exitCode !== null);
+    this.context.record.onStopped(process.id, exitCode !== null);
   }
 }
 
--- a/lab/soak/soak-plan.ts
+++ b/lab/soak/soak-plan.ts
@@ -71,7 +71,7 @@
 }
 
 /** Fixed, so that the plans of recorded seeds stay what they are. */
-const KINDS: readonly FaultKind[] = [
+const RANDOM_KINDS: readonly FaultKind[] = [
   FaultKind.KillSidecar,
   FaultKind.PauseSidecar,
   FaultKind.StopSidecar,
@@ -94,12 +94,12 @@
 /** A mean of one fault in this time, so that some overlap, in milliseconds. */
 const FAULT_GAP_MS = 2_500;
 const FIRST_FAULT_MS = 2_000;
-const LONGEST_FAULT_MS = 3_000;
-const SHORTEST_FAULT_MS = 300;
+const MAX_FAULT_MS = 3_000;
+const MIN_FAULT_MS = 300;
 const CHANGE_GAP_MS = 4_000;
 /** At the end nothing is wrong, so that recovery can be judged. */
-const CALM_MS = 6_000;
-const LEAST_PART = 0.1;
+const FAULT_FREE_END_MS = 6_000;
+const MIN_PART = 0.1;
 const EXTRA_PART = 0.4;
 
 const CLIENT_DEADLINE_MS = 2_500;
@@ -110,7 +110,7 @@
 const SEED_FACTOR = 0x9e3779b1;
 
 /** The random source of a plan, unlike those of the seeds before and after. */
-export function randomOfPlan(seed: number): RandomSource {
+export function createPlanRandom(seed: number): RandomSource {
   return new SeededRandom(Math.imul(seed, SEED_FACTOR) >>> 0);
 }
 
@@ -130,9 +130,9 @@
     timeoutMs: TIMEOUT_MS,
     nestedDeadlineMs: NESTED_DEADLINE_MS,
     durationMs,
-    calmMs: CALM_MS,
-    faults: drawFaults(random, durationMs - CALM_MS, machines),
-    changesAtMs: drawTimes(random, FIRST_FAULT_MS, durationMs - CALM_MS, CHANGE_GAP_MS),
+    calmMs: FAULT_FREE_END_MS,
+    faults: drawFaults(random, durationMs - FAULT_FREE_END_MS, machines),
+    changesAtMs: drawTimes(random, FIRST_FAULT_MS, durationMs - FAULT_FREE_END_MS, CHANGE_GAP_MS),
   };
 }
 
@@ -148,20 +148,20 @@
 
 function drawFaults(random: RandomSource, untilMs: number, machines: number): PlannedFault[] {
   return drawTimes(random, FIRST_FAULT_MS, untilMs, FAULT_GAP_MS).map((atMs) => {
-    const kind = KINDS[random.below(KINDS.length)]!;
-    const longestMs = Math.min(LONGEST_FAULT_MS, untilMs - atMs);
+    const kind = RANDOM_KINDS[random.below(RANDOM_KINDS.length)]!;
+    const longestMs = Math.min(MAX_FAULT_MS, untilMs - atMs);
     return {
       kind,
       atMs,
-      forMs: Math.max(SHORTEST_FAULT_MS, Math.round(random.next() * longestMs)),
-      victim: isOnControl(kind) ? random.below(REPLICAS) : random.below(machines),
-      part: LEAST_PART + EXTRA_PART * random.next(),
+      forMs: Math.max(MIN_FAULT_MS, Math.round(random.next() * longestMs)),
+      victim: isControlFault(kind) ? random.below(REPLICAS) : random.below(machines),
+      part: MIN_PART + EXTRA_PART * random.next(),
     };
   });
 }
 
 /** Whether a fault hits a control replica, and not a machine with a target. */
-export function isOnControl(kind: FaultKind): boolean {
+export function isControlFault(kind: FaultKind): boolean {
   return [FaultKind.KillControl, FaultKind.PauseControl, FaultKind.StopControl].includes(kind);
 }
 
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -2,7 +2,7 @@
  * What clients, targets and the operator of a soak have seen on their sockets, and what of it breaks a promise.
  * Pure: times are passed in.
  */
-import type { ExchangeEnd } from './exchange-end.js';
+import type { ExchangeResult } from './exchange-end.js';
 import { ArrivalLedger, type ArrivalBound } from '../simulator/sidecars/arrival-ledger.js';
 
 /** The promises that a run checks. */
@@ -17,7 +17,7 @@
   Goodput = 'goodput',
   Recovery = 'recovery',
   DeadlyBound = 'deadly requests bounded',
-  InnocentTaken = 'no innocent request quarantined',
+  NoFalseQuarantine = 'no innocent request quarantined',
 }
 
 /** A promise that was broken. */
@@ -27,7 +27,7 @@
 }
 
 /** How one request ended, of a client or of a target. */
-export interface Ending extends ExchangeEnd {
+export interface RequestOutcome extends ExchangeResult {
   readonly id: string;
   /** Machine whose sidecar it was sent to. */
   readonly machine: number;
@@ -52,16 +52,16 @@
 export interface SoakBounds {
   readonly retries: ArrivalBound;
   /** Part of all requests that have to be answered with success. */
-  readonly leastServed: number;
+  readonly minSuccessRatio: number;
   /** Part of the requests of the calm end that have to be. */
-  readonly leastServedAtEnd: number;
+  readonly minSuccessRatioAtEnd: number;
   /** From this moment on nothing is wrong any more and recovery is over, in milliseconds. */
   readonly recoveredAt: number;
 }
 
 /** A request that crashes its targets is kept from them this long after so many crashes, in milliseconds, but for a few. */
-const CRASHES_TO_KNOW = 3;
-const TIME_TO_KNOW_MS = 3_000;
+const CRASHES_BEFORE_QUARANTINE = 3;
+const MAX_QUARANTINE_DELAY_MS = 3_000;
 const MAX_LATE_RUNS = 3;
 /** In the body of a refusal for it. */
 const QUARANTINE_PROBLEM = 'problem:quarantined';
@@ -85,13 +85,13 @@
 export class SoakRecord {
   readonly arrivals = new ArrivalLedger();
   private readonly runs = new Map<string, number>();
-  private readonly onceIds = new Set<string>();
-  private readonly endings: Ending[] = [];
+  private readonly atMostOnceIds = new Set<string>();
+  private readonly outcomes: RequestOutcome[] = [];
   private readonly stops: Disturbance[] = [];
   private readonly disturbances: Disturbance[] = [];
   private readonly deadly = new Map<string, DeadlyHistory>();
-  private readonly found: Violation[] = [];
-  private readonly chances = new Map<Check, number>();
+  private readonly foundViolations: Violation[] = [];
+  private readonly checkCounts = new Map<Check, number>();
 
   /** A target begins to run a request. */
   onRun(id: string): void {
@@ -100,21 +100,21 @@
 
   /** A target begins a request that crashes it. */
   onDeadlyRun(name: string, atMs: number): void {
-    this.deadlyHistory(name).runsAt.push(atMs);
+    this.historyOf(name).runsAt.push(atMs);
   }
 
   /** A target crashes under such a request. */
   onDeadlyCrash(name: string, atMs: number): void {
-    this.deadlyHistory(name).crashesAt.push(atMs);
+    this.historyOf(name).crashesAt.push(atMs);
   }
 
   /** A client sends a request that may run at most once. */
-  onOnceSent(id: string): void {
-    this.onceIds.add(id);
+  onAtMostOnceSent(id: string): void {
+    this.atMostOnceIds.add(id);
   }
 
-  onEnding(ending: Ending): void {
-    this.endings.push(ending);
+  onRequestEnded(outcome: RequestOutcome): void {
+    this.outcomes.push(outcome);
   }
 
   /** Something goes wrong with a machine for a time. */
@@ -129,113 +129,114 @@
 
   /** A process that was stopped as planned has ended. @param isByItself false where it had to be killed */
   onStopped(process: string, isByItself: boolean): void {
-    this.count(Check.StopInTime);
+    this.countCheck(Check.StopInTime);
     if (isByItself) return;
     const detail = `${process} was still there at the end of its grace time`;
-    this.found.push({ check: Check.StopInTime, detail });
+    this.foundViolations.push({ check: Check.StopInTime, detail });
   }
 
   /** A machine in touch was asked whether an accepted change is in force. */
   onConfigurationRead(isInForce: boolean, detail: string): void {
-    this.count(Check.InForceInTime);
-    if (!isInForce) this.found.push({ check: Check.InForceInTime, detail });
+    this.countCheck(Check.InForceInTime);
+    if (!isInForce) this.foundViolations.push({ check: Check.InForceInTime, detail });
   }
 
   /** Everything that broke a promise, once the run is over. */
   violations(bounds: SoakBounds): Violation[] {
     this.checkRuns();
-    for (const ending of this.endings) this.checkEnding(ending);
+    for (const outcome of this.outcomes) this.checkOutcome(outcome);
     this.checkRetries(bounds);
     this.checkDeadly();
-    const ofClients = this.endings.filter(({ isNested }) => !isNested);
-    this.checkServed(Check.Goodput, bounds.leastServed, ofClients);
+    const ofClients = this.outcomes.filter(({ isNested }) => !isNested);
+    this.checkSuccessRatio(Check.Goodput, bounds.minSuccessRatio, ofClients);
     const atEnd = ofClients.filter(({ sentAt }) => sentAt >= bounds.recoveredAt);
-    this.checkServed(Check.Recovery, bounds.leastServedAtEnd, atEnd);
-    return this.found;
+    this.checkSuccessRatio(Check.Recovery, bounds.minSuccessRatioAtEnd, atEnd);
+    return this.foundViolations;
   }
 
   /** Part of all requests of clients that were answered with success, 0 to 1. */
-  get servedPart(): number {
-    return servedPart(this.endings.filter(({ isNested }) => !isNested));
+  get successRatio(): number {
+    return successRatioOf(this.outcomes.filter(({ isNested }) => !isNested));
   }
 
   /** How often each check could have failed; one with none counts as not run. */
-  chancesOf(check: Check): number {
-    return this.chances.get(check) ?? 0;
+  checkCountOf(check: Check): number {
+    return this.checkCounts.get(check) ?? 0;
   }
 
   private checkRuns(): void {
-    for (const id of this.onceIds) {
+    for (const id of this.atMostOnceIds) {
       const runs = this.runs.get(id) ?? 0;
-      if (runs > 0) this.count(Check.AtMostOnce);
-      if (runs > 1) this.found.push({ check: Check.AtMostOnce, detail: `${id} ran ${runs} times` });
+      if (runs > 0) this.countCheck(Check.AtMostOnce);
+      if (runs > 1)
+        this.foundViolations.push({ check: Check.AtMostOnce, detail: `${id} ran ${runs} times` });
     }
   }
 
-  private checkEnding(ending: Ending): void {
-    const { id, status, body } = ending;
+  private checkOutcome(outcome: RequestOutcome): void {
+    const { id, status, body } = outcome;
     if (status === STATUS_OK) {
-      this.count(Check.OwnWholeAnswer);
+      this.countCheck(Check.OwnWholeAnswer);
       if (body !== answerBody(id)) {
-        this.found.push({ check: Check.OwnWholeAnswer, detail: `${id} got '${body}'` });
+        this.foundViolations.push({ check: Check.OwnWholeAnswer, detail: `${id} got '${body}'` });
       }
     }
     if (NOT_RUN_STATUSES.includes(status)) {
-      this.count(Check.NotRunIsTrue);
+      this.countCheck(Check.NotRunIsTrue);
       const runs = this.runs.get(id) ?? 0;
       if (runs > 0) {
         const detail = `${id} got ${status} and ran ${runs} times`;
-        this.found.push({ check: Check.NotRunIsTrue, detail });
+        this.foundViolations.push({ check: Check.NotRunIsTrue, detail });
       }
     }
-    this.checkStop(ending);
-    this.checkInnocence(ending);
+    this.checkStop(outcome);
+    this.checkFalseQuarantine(outcome);
   }
 
-  private checkInnocence({ id, isDeadly = false, body }: Ending): void {
+  private checkFalseQuarantine({ id, isDeadly = false, body }: RequestOutcome): void {
     if (isDeadly || this.deadly.size === 0) return;
-    this.count(Check.InnocentTaken);
+    this.countCheck(Check.NoFalseQuarantine);
     if (!body.includes(QUARANTINE_PROBLEM)) return;
-    this.found.push({ check: Check.InnocentTaken, detail: `${id} was quarantined` });
+    this.foundViolations.push({ check: Check.NoFalseQuarantine, detail: `${id} was quarantined` });
   }
 
   /**
    * A request that was read before the stop, or that has run, ends with its target's answer, with a promise that it has
    * not run, or by its own deadline.
    */
-  private checkStop(ending: Ending): void {
-    const { id, machine, sentAt, endedAt, status, gaveUp, deadlineMs } = ending;
+  private checkStop(outcome: RequestOutcome): void {
+    const { id, machine, sentAt, endedAt, status, hasTimedOut, deadlineMs } = outcome;
     const stop = this.stops.find(
       (each) => each.machine === machine && each.fromMs <= endedAt && endedAt <= each.untilMs,
     );
-    if (stop === undefined || gaveUp || endedAt - sentAt >= deadlineMs) return;
+    if (stop === undefined || hasTimedOut || endedAt - sentAt >= deadlineMs) return;
     const hasRun = (this.runs.get(id) ?? 0) > 0;
     if (sentAt > stop.fromMs && !hasRun) return;
-    if (isBeyondGrace(ending, stop)) return;
+    if (isBeyondGrace(outcome, stop)) return;
     const isDisturbed = this.disturbances.some(
       (each) => each.fromMs <= endedAt && each.untilMs >= sentAt - UNDISTURBED_MS,
     );
     if (isDisturbed) return;
-    this.count(Check.CleanStop);
-    if (status !== 0 && !(hasRun && isOwnAnswerInPlace(ending))) return;
+    this.countCheck(Check.CleanStop);
+    if (status !== 0 && !(hasRun && isForeignFailure(outcome))) return;
     const afterMs = Math.round(sentAt - stop.fromMs);
     const detail = `${id}, sent ${afterMs} ms after the signal, was cut with ${status} by a planned stop`;
-    this.found.push({ check: Check.CleanStop, detail });
+    this.foundViolations.push({ check: Check.CleanStop, detail });
   }
 
   private checkDeadly(): void {
     for (const [name, { runsAt, crashesAt }] of this.deadly) {
-      const third = crashesAt[CRASHES_TO_KNOW - 1];
-      if (third === undefined) continue;
-      this.count(Check.DeadlyBound);
-      const late = runsAt.filter((at) => at > third + TIME_TO_KNOW_MS).length;
+      const thirdCrashAt = crashesAt[CRASHES_BEFORE_QUARANTINE - 1];
+      if (thirdCrashAt === undefined) continue;
+      this.countCheck(Check.DeadlyBound);
+      const late = runsAt.filter((at) => at > thirdCrashAt + MAX_QUARANTINE_DELAY_MS).length;
       if (late <= MAX_LATE_RUNS) continue;
-      const detail = `${name} began ${late} times later than ${TIME_TO_KNOW_MS} ms after its third crash`;
-      this.found.push({ check: Check.DeadlyBound, detail });
+      const detail = `${name} began ${late} times later than ${MAX_QUARANTINE_DELAY_MS} ms after its third crash`;
+      this.foundViolations.push({ check: Check.DeadlyBound, detail });
     }
   }
 
-  private deadlyHistory(name: string): DeadlyHistory {
+  private historyOf(name: string): DeadlyHistory {
     const existing = this.deadly.get(name);
     if (existing !== undefined) return existing;
     const created = { runsAt: [], crashesAt: [] };
@@ -244,39 +245,49 @@
   }
 
   private checkRetries({ retries }: SoakBounds): void {
-    this.count(Check.RetryBudget);
+    this.countCheck(Check.RetryBudget);
     const worst = this.arrivals.worst(retries);
     if (worst.repeats <= worst.allowed) return;
-    this.found.push({ check: Check.RetryBudget, detail: JSON.stringify(worst) });
+    this.foundViolations.push({ check: Check.RetryBudget, detail: JSON.stringify(worst) });
   }
 
-  private checkServed(check: Check, least: number, endings: readonly Ending[]): void {
-    if (endings.length === 0) return;
-    this.count(check, endings.length);
-    const served = servedPart(endings);
+  private checkSuccessRatio(
+    check: Check,
+    least: number,
+    outcomes: readonly RequestOutcome[],
+  ): void {
+    if (outcomes.length === 0) return;
+    this.countCheck(check, outcomes.length);
+    const served = successRatioOf(outcomes);
     if (served >= least) return;
-    this.found.push({ check, detail: `${served.toFixed(3)} served, at least ${least} wanted` });
+    this.foundViolations.push({
+      check,
+      detail: `${served.toFixed(3)} served, at least ${least} wanted`,
+    });
   }
 
-  private count(check: Check, by = 1): void {
-    this.chances.set(check, this.chancesOf(check) + by);
+  private countCheck(check: Check, by = 1): void {
+    this.checkCounts.set(check, this.checkCountOf(check) + by);
   }
 }
 
 /** Whether a request that came in good time was still worked on when its process had to end. */
-function isBeyondGrace({ sentAt, endedAt }: Ending, { fromMs, untilMs }: Disturbance): boolean {
+function isBeyondGrace(
+  { sentAt, endedAt }: RequestOutcome,
+  { fromMs, untilMs }: Disturbance,
+): boolean {
   const graceMs = untilMs - fromMs;
   const isEarly = sentAt <= fromMs + EARLY_PART * graceMs;
   return isEarly && endedAt >= fromMs + LAST_PART * graceMs;
 }
 
 /** Whether a failure is not the target's own. */
-function isOwnAnswerInPlace({ id, status, body }: Ending): boolean {
+function isForeignFailure({ id, status, body }: RequestOutcome): boolean {
   return status >= STATUS_FAILED && body !== answerBody(id);
 }
 
-function servedPart(endings: readonly Ending[]): number {
-  return endings.filter(({ status }) => status === STATUS_OK).length / endings.length;
+function successRatioOf(outcomes: readonly RequestOutcome[]): number {
+  return outcomes.filter(({ status }) => status === STATUS_OK).length / outcomes.length;
 }
 
 /** The whole body of the answer to a request. */
--- a/lab/soak/soak-target.ts
+++ b/lab/soak/soak-target.ts
@@ -7,8 +7,8 @@
 import { request } from 'undici';
 import type { RandomSource } from '../../src/common/random.js';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
-import { CALLS_DEADLY_MARK, DEADLY_MARK } from './deadly-client.js';
-import { noAnswer, wholeAnswer, type ExchangeEnd } from './exchange-end.js';
+import { CALLS_DEADLY_PREFIX, DEADLY_PREFIX } from './deadly-client.js';
+import { failedExchange, readResponse, type ExchangeResult } from './exchange-end.js';
 import { answerBody, type SoakRecord } from './soak-record.js';
 import type { SoakService } from './soak-plan.js';
 
@@ -19,18 +19,18 @@
   /** Part of the answers that are lost after the run, 0 to 1. */
   lostPart: number;
   /** Multiple of its usual work. */
-  slowness: number;
+  slowdownFactor: number;
 }
 
 /** What the targets of a run share. */
-export interface TargetWorld {
+export interface TargetContext {
   readonly random: RandomSource;
   readonly record: SoakRecord;
   readonly now: () => number;
   /** Requests that repeated runs have made: their arrivals are repeats. */
-  readonly inherited: Set<string>;
+  readonly repeatedIds: Set<string>;
   /** Requests that have arrived at any target. */
-  readonly arrived: Set<string>;
+  readonly seenIds: Set<string>;
   readonly host: string;
   /** Longest time that calls of a target are given, in milliseconds. */
   readonly nestedDeadlineMs: number;
@@ -43,11 +43,11 @@
   readonly response: ServerResponse;
   readonly deadlineAt: number;
   /** Last part of the path of the calls that it makes. */
-  readonly call: string;
+  readonly callSegment: string;
 }
 
-/** What a target needs to know of its place. */
-export interface TargetPlace {
+/** What a target needs to know of its options. */
+export interface TargetOptions {
   readonly machine: number;
   readonly service: SoakService;
   /** Path of the route that leads to the next service; undefined for the last. */
@@ -56,12 +56,12 @@
 }
 
 /** How long a target runs a request that crashes it, and how long it is down then, in milliseconds. */
-const LEAST_CRASH_MS = 40;
-const EXTRA_CRASH_MS = 80;
-const LEAST_DOWN_MS = 1_500;
+const MIN_CRASH_DELAY_MS = 40;
+const EXTRA_CRASH_DELAY_MS = 80;
+const MIN_DOWN_MS = 1_500;
 const EXTRA_DOWN_MS = 1_500;
 
-const NAMES = DEFAULT_TARGET_HEADERS;
+const HEADERS = DEFAULT_TARGET_HEADERS;
 const STATUS_OK = 200;
 const STATUS_FAILED = 500;
 const STATUS_FULL = 503;
@@ -69,23 +69,23 @@
 const STATUS_TOO_LATE = 504;
 
 export class SoakTarget {
-  private starts = 1;
+  private incarnation = 1;
   private isDown = false;
-  readonly misbehaviour: TargetMisbehaviour = { rejectedPart: 0, lostPart: 0, slowness: 1 };
+  readonly misbehaviour: TargetMisbehaviour = { rejectedPart: 0, lostPart: 0, slowdownFactor: 1 };
   private running = 0;
   private port = 0;
   private nextNested = 0;
   private readonly sockets = new Set<Socket>();
 
   private constructor(
-    private readonly world: TargetWorld,
-    private readonly place: TargetPlace,
+    private readonly context: TargetContext,
+    private readonly options: TargetOptions,
     private readonly server: Server,
   ) {}
 
-  static async start(world: TargetWorld, place: TargetPlace): Promise<SoakTarget> {
+  static async start(context: TargetContext, options: TargetOptions): Promise<SoakTarget> {
     const server = createServer();
-    const target = new SoakTarget(world, place, server);
+    const target = new SoakTarget(context, options, server);
     server.on('request', (message, response) => void target.handle(message, response));
     server.on('connection', (socket) => {
       target.sockets.add(socket);
@@ -97,7 +97,7 @@
   }
 
   get instance(): string {
-    return `instance-${this.place.machine}-${this.starts}`;
+    return `instance-${this.options.machine}-${this.incarnation}`;
   }
 
   /** `HOST:PORT` that it serves. */
@@ -122,7 +122,7 @@
     this.server.close();
     for (const socket of this.sockets) socket.resetAndDestroy();
     await pause(downMs);
-    this.starts += 1;
+    this.incarnation += 1;
     this.running = 0;
     await new Promise<void>((resolve) => this.server.listen(this.port, '127.0.0.1', resolve));
     this.isDown = false;
@@ -130,52 +130,54 @@
 
   private async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
     message.resume();
-    const id = headerOf(message, NAMES.requestId);
-    response.setHeader(NAMES.requestId, id);
-    if (headerOf(message, NAMES.expectedInstance) !== this.instance) {
+    const id = headerOf(message, HEADERS.requestId);
+    response.setHeader(HEADERS.requestId, id);
+    if (headerOf(message, HEADERS.expectedInstance) !== this.instance) {
       reject(response, STATUS_MISDIRECTED);
       return;
     }
     const isRepeat = this.countArrival(id);
-    const isRejected = this.world.random.next() < this.misbehaviour.rejectedPart;
-    if (isRejected || this.running >= this.place.service.slots) {
+    const isRejected = this.context.random.next() < this.misbehaviour.rejectedPart;
+    if (isRejected || this.running >= this.options.service.slots) {
       reject(response, STATUS_FULL);
       return;
     }
-    this.world.record.onRun(id);
-    const last = lastPart(message.url);
-    if (last.startsWith(DEADLY_MARK)) {
-      await this.crashUnder(last);
+    this.context.record.onRun(id);
+    const last = lastPathSegment(message.url);
+    if (last.startsWith(DEADLY_PREFIX)) {
+      await this.crashOn(last);
       return;
     }
     this.running += 1;
-    const deadlineAt = this.world.now() + Number(headerOf(message, NAMES.deadlineMs));
-    const { starts } = this;
-    const call = last.startsWith(CALLS_DEADLY_MARK) ? last.slice(CALLS_DEADLY_MARK.length) : '1';
-    const status = await this.run({ id, isRepeat, response, deadlineAt, call });
-    if (this.starts !== starts || this.isDown) return;
+    const deadlineAt = this.context.now() + Number(headerOf(message, HEADERS.deadlineMs));
+    const { incarnation } = this;
+    const callSegment = last.startsWith(CALLS_DEADLY_PREFIX)
+      ? last.slice(CALLS_DEADLY_PREFIX.length)
+      : '1';
+    const status = await this.run({ id, isRepeat, response, deadlineAt, callSegment });
+    if (this.incarnation !== incarnation || this.isDown) return;
     this.running -= 1;
-    if (this.world.random.next() < this.misbehaviour.lostPart) response.socket?.destroy();
+    if (this.context.random.next() < this.misbehaviour.lostPart) response.socket?.destroy();
     else response.writeHead(status).end(answerBody(id));
   }
 
   /** Begins a request that crashes it. */
-  private async crashUnder(name: string): Promise<void> {
-    const { record, random, now } = this.world;
+  private async crashOn(name: string): Promise<void> {
+    const { record, random, now } = this.context;
     record.onDeadlyRun(name, now());
-    const { starts } = this;
-    await pause(LEAST_CRASH_MS + random.below(EXTRA_CRASH_MS));
-    if (this.starts !== starts || this.isDown) return;
+    const { incarnation } = this;
+    await pause(MIN_CRASH_DELAY_MS + random.below(EXTRA_CRASH_DELAY_MS));
+    if (this.incarnation !== incarnation || this.isDown) return;
     record.onDeadlyCrash(name, now());
-    await this.crash(LEAST_DOWN_MS + random.below(EXTRA_DOWN_MS));
+    await this.crash(MIN_DOWN_MS + random.below(EXTRA_DOWN_MS));
   }
 
   /** @returns whether the arrival is a repeat */
   private countArrival(id: string): boolean {
-    const { record, inherited, arrived, now } = this.world;
-    const isRepeat = inherited.has(id) || arrived.has(id);
-    arrived.add(id);
-    const { name } = this.place.service;
+    const { record, repeatedIds, seenIds, now } = this.context;
+    const isRepeat = repeatedIds.has(id) || seenIds.has(id);
+    seenIds.add(id);
+    const { name } = this.options.service;
     if (isRepeat) record.arrivals.onRepeat(name, now());
     else record.arrivals.onRequest(name, now());
     return isRepeat;
@@ -183,9 +185,9 @@
 
   /** Works in as many parts as there are calls, and one more. @returns the status of the answer */
   private async run(run: TargetRun): Promise<number> {
-    const { callsPerRun, workMs } = this.place.service;
-    const calls = this.place.nextPath === undefined ? 0 : callsPerRun;
-    const partMs = (workMs * this.misbehaviour.slowness) / (calls + 1);
+    const { callsPerRun, workMs } = this.options.service;
+    const calls = this.options.nextPath === undefined ? 0 : callsPerRun;
+    const partMs = (workMs * this.misbehaviour.slowdownFactor) / (calls + 1);
     if (!(await this.work(partMs, run))) return STATUS_TOO_LATE;
     for (let call = 0; call < calls && !run.response.destroyed; call += 1) {
       if (!(await this.callNext(run))) return STATUS_FAILED;
@@ -196,49 +198,58 @@
 
   /** @returns whether the work was done before the run's deadline */
   private async work(durationMs: number, { deadlineAt }: TargetRun): Promise<boolean> {
-    const leftMs = deadlineAt - this.world.now();
+    const leftMs = deadlineAt - this.context.now();
     await new Promise((resolve) => setTimeout(resolve, Math.min(durationMs, leftMs)));
     return durationMs < leftMs;
   }
 
   /** @returns whether the next service answered with success */
-  private async callNext({ id: parent, isRepeat, deadlineAt, call }: TargetRun): Promise<boolean> {
-    const { record, inherited, now, nestedDeadlineMs } = this.world;
-    const { machine } = this.place;
+  private async callNext({
+    id: parent,
+    isRepeat,
+    deadlineAt,
+    callSegment,
+  }: TargetRun): Promise<boolean> {
+    const { record, repeatedIds, now, nestedDeadlineMs } = this.context;
+    const { machine } = this.options;
     const id = `${parent}/${this.instance}-${(this.nextNested += 1)}`;
-    if (isRepeat) inherited.add(id);
+    if (isRepeat) repeatedIds.add(id);
     const sentAt = now();
     const deadlineMs = Math.max(1, Math.floor(Math.min(deadlineAt - sentAt, nestedDeadlineMs)));
-    const answer = await this.exchange(id, deadlineMs, call);
+    const answer = await this.exchange(id, deadlineMs, callSegment);
     const endedAt = now();
-    const isDeadly = call.startsWith(DEADLY_MARK);
-    record.onEnding({
+    const isDeadly = callSegment.startsWith(DEADLY_PREFIX);
+    record.onRequestEnded({
       ...{ id, machine, isNested: true, isDeadly, deadlineMs, sentAt, endedAt },
       ...answer,
     });
     return answer.status === STATUS_OK;
   }
 
-  private async exchange(id: string, deadlineMs: number, call: string): Promise<ExchangeEnd> {
-    const { outboundOrigin, nextPath } = this.place;
+  private async exchange(
+    id: string,
+    deadlineMs: number,
+    callSegment: string,
+  ): Promise<ExchangeResult> {
+    const { outboundOrigin, nextPath } = this.options;
     try {
-      const response = await request(`${outboundOrigin}${nextPath}${call}`, {
+      const response = await request(`${outboundOrigin}${nextPath}${callSegment}`, {
         headers: {
-          host: this.world.host,
-          [NAMES.requestId]: id,
-          [NAMES.deadlineMs]: String(deadlineMs),
+          host: this.context.host,
+          [HEADERS.requestId]: id,
+          [HEADERS.deadlineMs]: String(deadlineMs),
         },
         signal: AbortSignal.timeout(deadlineMs),
       });
-      return await wholeAnswer(response);
+      return await readResponse(response);
     } catch (error) {
-      return noAnswer(error);
+      return failedExchange(error);
     }
   }
 }
 
 function reject(response: ServerResponse, status: number): void {
-  response.writeHead(status, { [NAMES.notExecuted]: '1' }).end();
+  response.writeHead(status, { [HEADERS.notExecuted]: '1' }).end();
 }
 
 function headerOf(message: IncomingMessage, name: string): string {
@@ -246,7 +257,7 @@
   return (Array.isArray(value) ? value[0] : value) ?? '';
 }
 
-function lastPart(url = ''): string {
+function lastPathSegment(url = ''): string {
   return url.slice(url.lastIndexOf('/') + 1);
 }
 
--- a/lab/soak/stop-plan.ts
+++ b/lab/soak/stop-plan.ts
@@ -6,7 +6,7 @@
 import {
   drawTimes,
   FaultKind,
-  randomOfPlan,
+  createPlanRandom,
   REPLICAS,
   type PlannedFault,
   type SoakPlan,
@@ -15,10 +15,10 @@
 const FRONT_MACHINES = 3;
 const SLOTS = 64;
 const FIRST_STOP_MS = 1_000;
-const LEAST_RESTART_MS = 200;
+const MIN_RESTART_MS = 200;
 const EXTRA_RESTART_MS = 800;
 const RELOAD_PART = 0.15;
-const CALM_MS = 10_000;
+const FAULT_FREE_END_MS = 10_000;
 const DEADLINE_MS = 6_000;
 
 /** How requests go: many short runs, or few that last for seconds. */
@@ -31,7 +31,7 @@
 
 /** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
 export function drawStopPlan(seed: number, durationMs: number): SoakPlan {
-  const random = randomOfPlan(seed);
+  const random = createPlanRandom(seed);
   const load = random.next() < 0.5 ? longRuns(random) : shortRuns(random);
   const { perSecond, callsPerRun, callMs, stopGapMs } = load;
   const backMachines = 2 + random.below(2);
@@ -47,8 +47,13 @@
     timeoutMs: DEADLINE_MS,
     nestedDeadlineMs: DEADLINE_MS,
     durationMs,
-    calmMs: CALM_MS,
-    faults: drawStops(random, durationMs - CALM_MS, stopGapMs, FRONT_MACHINES + backMachines),
+    calmMs: FAULT_FREE_END_MS,
+    faults: drawStops(
+      random,
+      durationMs - FAULT_FREE_END_MS,
+      stopGapMs,
+      FRONT_MACHINES + backMachines,
+    ),
     changesAtMs: [],
   };
 }
@@ -86,6 +91,6 @@
     forMs: 0,
     victim: random.below(machines),
     part: 0,
-    restartAfterMs: LEAST_RESTART_MS + random.below(EXTRA_RESTART_MS),
+    restartAfterMs: MIN_RESTART_MS + random.below(EXTRA_RESTART_MS),
   }));
 }
--- a/test/lab/soak.test.ts
+++ b/test/lab/soak.test.ts
@@ -20,25 +20,25 @@
 
 const BOUNDS: SoakBounds = {
   retries: { ratio: 0.2, slack: 5, windowMs: 10_000 },
-  leastServed: 0.5,
-  leastServedAtEnd: 0.9,
+  minSuccessRatio: 0.5,
+  minSuccessRatioAtEnd: 0.9,
   recoveredAt: 20_000,
 };
 
 /** What all endings of these tests share. */
-const OF_CLIENT = { machine: 0, isNested: false, deadlineMs: 2_500, gaveUp: false };
+const OF_CLIENT = { machine: 0, isNested: false, deadlineMs: 2_500, hasTimedOut: false };
 
 describe('the checks of a soak', () => {
   /** What a run finds in which one client's request got this status, and whatever `also` happened. */
   function found(status: number, also: (record: SoakRecord) => void = () => undefined): Check[] {
     const record = new SoakRecord();
     record.arrivals.onRequest('service', 0);
-    const ending = { ...OF_CLIENT, sentAt: 100, endedAt: 400 };
+    const outcome = { ...OF_CLIENT, sentAt: 100, endedAt: 400 };
     for (let each = 0; each < 10; each += 1) {
       const id = `sound-${each}`;
-      record.onEnding({ ...ending, id, status: 200, body: answerBody(id) });
+      record.onRequestEnded({ ...outcome, id, status: 200, body: answerBody(id) });
     }
-    record.onEnding({ ...ending, id: 'q', status, body: answerBody('q') });
+    record.onRequestEnded({ ...outcome, id: 'q', status, body: answerBody('q') });
     also(record);
     return record.violations(BOUNDS).map(({ check }) => check);
   }
@@ -53,7 +53,7 @@
       check: Check.AtMostOnce,
       run: () =>
         found(200, (record) => {
-          record.onOnceSent('q');
+          record.onAtMostOnceSent('q');
           record.onRun('q');
           record.onRun('q');
         }),
@@ -64,8 +64,8 @@
       run: () =>
         found(200, (record) => {
           const part = answerBody('other').slice(0, -1);
-          const ending = { ...OF_CLIENT, id: 'other', sentAt: 0, endedAt: 1, status: 200 };
-          record.onEnding({ ...ending, body: part });
+          const outcome = { ...OF_CLIENT, id: 'other', sentAt: 0, endedAt: 1, status: 200 };
+          record.onRequestEnded({ ...outcome, body: part });
         }),
     },
     {
@@ -92,7 +92,8 @@
       run: () =>
         found(502, (record) => {
           const failed = { ...OF_CLIENT, sentAt: 0, endedAt: 1, status: 502, body: '' };
-          for (let each = 0; each < 11; each += 1) record.onEnding({ ...failed, id: `f-${each}` });
+          for (let each = 0; each < 11; each += 1)
+            record.onRequestEnded({ ...failed, id: `f-${each}` });
         }),
     },
     {
@@ -100,7 +101,7 @@
       run: () =>
         found(200, (record) => {
           const late = { ...OF_CLIENT, sentAt: 21_000, endedAt: 21_001, status: 502, body: '' };
-          record.onEnding({ ...late, id: 'late' });
+          record.onRequestEnded({ ...late, id: 'late' });
         }),
     },
   ];
@@ -114,13 +115,13 @@
         }),
     },
     {
-      check: Check.InnocentTaken,
+      check: Check.NoFalseQuarantine,
       run: () =>
         found(200, (record) => {
           record.onDeadlyRun('deadly-0', 0);
           const body = '{"type":"urn:shoredoor:problem:quarantined"}';
           const refused = { ...OF_CLIENT, sentAt: 0, endedAt: 1, status: 503 };
-          record.onEnding({ ...refused, id: 'twin', body });
+          record.onRequestEnded({ ...refused, id: 'twin', body });
         }),
     },
   );
@@ -134,15 +135,15 @@
   function foundOfCall(
     afterMs: number,
     status: number,
-    { body = '', gaveUp = false, deadlineMs = 1_000 } = {},
+    { body = '', hasTimedOut = false, deadlineMs = 1_000 } = {},
   ): Check[] {
     return found(200, (record) => {
       record.onStop({ machine: 0, fromMs: 1_000, untilMs: 7_000 });
       record.onRun('call');
       const sentAt = 1_000 + afterMs;
       const endedAt = sentAt + 100;
-      const ending = { machine: 0, isNested: true, deadlineMs, sentAt, endedAt };
-      record.onEnding({ ...ending, id: 'call', status, body, gaveUp });
+      const outcome = { machine: 0, isNested: true, deadlineMs, sentAt, endedAt };
+      record.onRequestEnded({ ...outcome, id: 'call', status, body, hasTimedOut });
     });
   }
 
@@ -154,7 +155,7 @@
 
   it('find nothing in calls that their targets have answered, or whose makers gave up', () => {
     expect(foundOfCall(4_950, 504, { body: answerBody('call') })).to.deep.equal([]);
-    expect(foundOfCall(4_950, 0, { gaveUp: true })).to.deep.equal([]);
+    expect(foundOfCall(4_950, 0, { hasTimedOut: true })).to.deep.equal([]);
     expect(foundOfCall(4_950, 504, { deadlineMs: 90 })).to.deep.equal([]);
   });
 
@@ -203,7 +204,7 @@
     const plan = drawCrashPlan(CI_CRASH_SEED, CI_CRASH_DURATION_MS);
     const { violations, chances } = await runSoak(plan, folder);
     expect(violations, `logs: ${folder}`).to.deep.equal([]);
-    for (const check of [Check.DeadlyBound, Check.InnocentTaken]) {
+    for (const check of [Check.DeadlyBound, Check.NoFalseQuarantine]) {
       expect(chances.get(check), check).to.be.above(0);
     }
     rmSync(folder, { recursive: true, force: true });
