--- a/bench/bare-proxy.ts
+++ b/bench/bare-proxy.ts
@@ -1,6 +1,6 @@
 /**
- * The baseline of the benches: a plain `node:http` and `undici` proxy that forwards and does nothing else. A program
- * of its own; its one argument is the origin to which it forwards.
+ * The baseline of the benchmarks: a minimal proxy of `node:http` and `undici`. A separate program; its only argument is
+ * the upstream origin.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -8,7 +8,7 @@
 
 const CONNECTIONS = 128;
 
-/** Forwards one request and its answer. */
+/** Forwards one request and its response. */
 function forward(pool: Pool, message: IncomingMessage, response: ServerResponse): void {
   const headers = { ...message.headers };
   delete headers.host;
--- a/bench/bench-target.ts
+++ b/bench/bench-target.ts
@@ -1,4 +1,4 @@
-/** The target of the benches: answers at once with a small body. A program of its own. */
+/** The target of the benchmarks: responds immediately with a small body. A separate program. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
@@ -10,7 +10,7 @@
   response.writeHead(200, {
     'content-length': BODY.length,
     'content-type': 'text/plain',
-    // A sidecar takes only answers that name their request.
+    // Sidecars reject responses without the id of the request.
     ...(requestId !== undefined && { 'x-request-id': requestId }),
   });
   response.end(BODY);
--- a/bench/call-path.ts
+++ b/bench/call-path.ts
@@ -1,6 +1,6 @@
 /**
- * What the call path costs: direct, two bare proxies in a row, and shoredoor's edge and node, in turn
- * in one run, several rounds, medians. Usage: npm run bench [-- --rounds N]
+ * Benchmarks the call path: direct calls, two bare proxies in series, and shoredoor's edge and node. Each round
+ * measures all three; the report shows medians over the rounds. Usage: npm run bench [-- --rounds N]
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -25,20 +25,19 @@
 const MEMORY_STEPS = 4;
 const READY_POLL_MS = 100;
 
-/** A process that is measured. */
 interface MeasuredProcess {
   readonly pid: number;
 }
 
-/** One way from the caller to the target. */
+/** A path from the caller to the target. */
 interface CallPath {
   readonly name: string;
   readonly load: LoadGenerator;
-  /** Processes between caller and target, the caller's side first. */
+  /** Processes between caller and target, starting at the caller. */
   readonly hops: readonly MeasuredProcess[];
 }
 
-/** The figures of one way in one round. */
+/** The results of one path in one round; latencies in milliseconds. */
 interface RoundResult {
   readonly p50: number;
   readonly p99: number;
@@ -65,7 +64,7 @@
   },
 });
 
-/** Shoredoor's own way to the target. */
+/** The processes of the path through shoredoor. */
 interface ProductPath {
   readonly control: ControlReplicas;
   readonly edge: ProgramProcess;
--- a/bench/cold-calls.ts
+++ b/bench/cold-calls.ts
@@ -1,7 +1,7 @@
 /**
- * What the first calls of a process cost: processor time a call over the sidecar where a request begins and the one beside
- * its target, at a steady rate from the start on, beside two bare proxies in the same run. A machine that sees 20 to
- * 130 calls a second stays in this state for its first half minute. Usage: npm run bench:cold [-- --rounds 3]
+ * Benchmarks the first calls after a start, before the JIT compiler has optimized the code: CPU time per call of two
+ * sidecars, the one of the caller and the one of the target, at a steady rate, compared with two bare proxies.
+ * Usage: npm run bench:cold [-- --rounds 3]
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -14,10 +14,10 @@
 import { SidecarFleet } from './sidecar-fleet.js';
 
 const CALLS_PER_SECOND = 80;
-/** Ends of the stretches that are told apart, in calls since the start. */
+/** Ends of the reported intervals, in calls since the start. */
 const INTERVAL_ENDS = [100, 400, 1_000, 2_000] as const;
 
-/** Processor milliseconds a call in each stretch. */
+/** CPU milliseconds per call in each interval. */
 type IntervalCosts = readonly number[];
 
 async function measureCalls(origin: string, pids: readonly number[]): Promise<IntervalCosts> {
@@ -75,7 +75,7 @@
   }
 }
 
-/** A number of rounds. Throws where it is none. */
+/** Parses a number of rounds. @throws when it is not a positive integer */
 function parseRounds(value: string | number): number {
   const rounds = Number(value);
   if (Number.isInteger(rounds) && rounds > 0) return rounds;
--- a/bench/comparison.ts
+++ b/bench/comparison.ts
@@ -1,4 +1,4 @@
-/** What the benches share: the target, two bare proxies to compare with, and the processor time of several processes. */
+/** Shared by the benchmarks: the target, two bare proxies as the baseline, and the CPU time of several processes. */
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { FleetChild } from '../lab/fleet/child-process.js';
@@ -10,26 +10,26 @@
   proxy: fileURLToPath(new URL('./bare-proxy.js', import.meta.url)),
 };
 
-/** Headers with which requests find the one declared route. */
+/** Headers that match the only declared route. */
 export const REQUEST_HEADERS = { host: BENCH_HOST, 'x-request-id': 'bench' };
 
-/** Processor milliseconds of these processes since their starts. */
+/** Total CPU time of processes since their start, in milliseconds. */
 export function totalCpuMs(pids: readonly number[]): number {
   return pids.reduce((sum, pid) => sum + cpuMs(pid), 0);
 }
 
-/** Starts the target; its log goes into `workDir`. */
+/** Starts the target; its log is written to `workDir`. */
 export function startBenchTarget(workDir: string): Promise<FleetChild> {
   return FleetChild.start('target', SCRIPTS.target, [], join(workDir, 'target.log'));
 }
 
-/** Two bare proxies in a row before a target. */
+/** Two bare proxies in series in front of a target. */
 export interface BareProxies {
   readonly outer: FleetChild;
   readonly inner: FleetChild;
 }
 
-/** Starts the proxies; their logs go into `workDir`. */
+/** Starts the proxies; their logs are written to `workDir`. */
 export async function startBareProxies(workDir: string, target: string): Promise<BareProxies> {
   const start = (name: string, origin: string): Promise<FleetChild> =>
     FleetChild.start(name, SCRIPTS.proxy, [origin], join(workDir, `${name}.log`));
@@ -38,7 +38,7 @@
   return { outer, inner };
 }
 
-/** Runs `measure` with two bare proxies in a row before `target`, and ends them. */
+/** Runs `measure` with two bare proxies in series in front of `target`, and kills them afterwards. */
 export async function withBareProxies<Result>(
   workDir: string,
   target: string,
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,21 +1,18 @@
-/**
- * Sends requests to one origin and measures how long each takes. Owns the connections, which stay open between
- * stretches of load.
- */
+/** Sends requests to one origin and measures their latencies. */
 import { Pool } from 'undici';
 
 const CONNECTIONS = 64;
 const BENCH_PATH = '/bench/item';
 
-/** What a stretch of load gave. */
+/** The results of one load run. */
 export interface LoadResult {
-  /** Milliseconds of each request, sorted. */
+  /** Latencies of successful requests, in milliseconds, ascending. */
   readonly latenciesMs: readonly number[];
   readonly failed: number;
   readonly durationMs: number;
 }
 
-/** A path under load. Connections stay open between stretches. */
+/** Generates load on one origin. Connections stay open between runs. */
 export class LoadGenerator {
   private readonly pool: Pool;
 
@@ -27,7 +24,7 @@
     this.pool = new Pool(origin, { connections: CONNECTIONS, pipelining: 1 });
   }
 
-  /** Sends at a steady rate, whatever comes back. */
+  /** Sends at a constant rate, regardless of responses (open loop). */
   async runAtRate(callsPerSecond: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results = await Promise.all(
@@ -40,7 +37,7 @@
     return toResult(results, performance.now() - startedAt);
   }
 
-  /** Sends as fast as answers come back, a number of requests at a time. */
+  /** Keeps `concurrency` requests in flight until `calls` were sent (closed loop). */
   async runConcurrently(concurrency: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results: number[] = [];
@@ -59,7 +56,7 @@
     await this.pool.destroy();
   }
 
-  /** @returns milliseconds, or NaN for a failure */
+  /** Sends one request. @returns its latency in milliseconds, or NaN if it failed */
   private async send(): Promise<number> {
     const sentAt = performance.now();
     try {
@@ -87,7 +84,7 @@
   if (failed > 0) throw new Error(`${name}: ${failed} requests failed`);
 }
 
-/** The latency that a fraction of the requests stays under. */
+/** Returns a quantile of ascending latencies. @param fraction 0 to 1 */
 export function quantile(latenciesMs: readonly number[], fraction: number): number {
   return latenciesMs[Math.floor(fraction * (latenciesMs.length - 1))] ?? Number.NaN;
 }
--- a/bench/run-command.ts
+++ b/bench/run-command.ts
@@ -1,4 +1,4 @@
-/** Runs the one command of a bench; what fails is told on standard error, with exit code 2. */
+/** Runs the command of a benchmark. Errors are printed to standard error and set exit code 2. */
 import type { CAC } from 'cac';
 
 const EXIT_FAILED = 2;
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -1,6 +1,6 @@
 /**
- * What sidecars cost, three figures apart: a start, an idle second, a call; each at several sizes of the
- * fleet, beside two bare proxies in the same run. Usage: npm run bench:sidecars [-- --sizes 2,8,24]
+ * Benchmarks the cost of sidecars: of a start, of an idle second and of a call, at several fleet sizes, compared with
+ * two bare proxies. Usage: npm run bench:sidecars [-- --sizes 2,8,24]
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -17,20 +17,17 @@
 const WARMUP_CALLS = 3_000;
 const MEASURED_CALLS = 10_000;
 const CONCURRENCY = 16;
-/**
- * After a start the engine compiles what runs often: idle processes took 8 to 23 ms a second in the first
- * 5 s and 3 to 5 from 25 s on, two or sixteen of them alike.
- */
+/** Wait after a start, in milliseconds; JIT compilation raises the idle CPU time before that. */
 const SETTLE_MS = 25_000;
 const IDLE_MS = 10_000;
 const MS_PER_SECOND = 1_000;
 
-/** The figures of one fleet. */
+/** The results for one fleet size. */
 interface FleetCosts {
   readonly size: number;
   readonly startMs: number;
   readonly startCpuMs: number;
-  /** Processor milliseconds a second of one idle sidecar. */
+  /** CPU milliseconds per second of one idle sidecar. */
   readonly idleMsPerSecond: number;
   readonly cpuMsPerCall: number;
   readonly p50Ms: number;
@@ -53,7 +50,7 @@
     const idleMsPerSecond = ((totalCpuMs(pids) - idleFrom) * MS_PER_SECOND) / IDLE_MS / size;
     const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.process;
     const source = new LoadGenerator(ingress.origin('outbound'), REQUEST_HEADERS);
-    // A gate that has just started lets in no more than it has seen answered: the first calls come one by one.
+    // The gate starts with a low limit that grows with completed calls, so the first calls are sequential.
     await source.runConcurrently(1, FIRST_CALLS);
     failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
     const callsFrom = totalCpuMs(pids);
@@ -76,7 +73,7 @@
   }
 }
 
-/** Processor milliseconds a call of the processes behind `origin`. */
+/** Measures CPU milliseconds per call of the proxies behind `origin`. */
 async function measureProxies(origin: string, pids: readonly number[]): Promise<number> {
   const source = new LoadGenerator(origin, REQUEST_HEADERS);
   failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
@@ -114,7 +111,7 @@
   }
 }
 
-/** The sizes in `2,8,24`. Throws where one is no whole number of at least 2. */
+/** Parses a list such as `2,8,24`. @throws when an item is not an integer of at least 2 */
 function parseSizes(text: string): number[] {
   const sizes = text.split(',').map(Number);
   if (sizes.some((size) => !Number.isInteger(size) || size < 2)) {
--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -1,27 +1,26 @@
 /**
- * A control replica and sidecars as real processes on loopback, all beside one stand-in target. Owns the processes
- * and reports the target to each sidecar, as targets do.
+ * A control replica and sidecars as real processes on loopback. All sidecars share one target, which is registered
+ * with each of them at regular intervals, as targets do themselves.
  */
 import { join } from 'node:path';
 import { request } from 'undici';
 import { freePorts } from '../lab/fleet/free-ports.js';
 import { ANY_PORT, ProgramProcess } from '../lab/fleet/program-process.js';
 
-/** As targets of the users' platform report themselves. */
+/** Interval of the reports of the target, in milliseconds. */
 const REPORT_INTERVAL_MS = 1_500;
 const TARGET_SLOTS = 64;
 const RETRY_MS = 50;
 
 /** Host of the one declared route. */
 export const BENCH_HOST = 'bench.example';
-/** Sidecars at which requests begin, and those beside targets of the called service. */
+/** Service of the sidecars that callers use, and service of those that have a target. */
 const SERVICES = ['caller', 'callee'] as const;
 
-/** One sidecar and what its start took. */
 interface MeasuredSidecar {
   readonly process: ProgramProcess;
   readonly service: (typeof SERVICES)[number];
-  /** Milliseconds from its start until it listens. */
+  /** Milliseconds from the spawn until it listens. */
   readonly startMs: number;
 }
 
@@ -32,13 +31,13 @@
   private reportTimer: NodeJS.Timeout | undefined;
   private sequence = 0;
 
-  /** @param targetAddress `HOST:PORT` of the target that all sidecars have */
+  /** @param targetAddress `HOST:PORT` of the target of all sidecars */
   constructor(
     private readonly workDir: string,
     private readonly targetAddress: string,
   ) {}
 
-  /** Starts control and `count` sidecars, one after the other, and keeps their targets reported. */
+  /** Starts the control replica and `count` sidecars sequentially, and begins to report the target to them. */
   async start(count: number): Promise<void> {
     await this.startControl();
     await this.declare();
@@ -47,7 +46,7 @@
     this.reportTimer = setInterval(() => void this.reportTargets(), REPORT_INTERVAL_MS);
   }
 
-  /** Ends every process that was started here. */
+  /** Stops the reports and kills every process. */
   async kill(): Promise<void> {
     clearInterval(this.reportTimer);
     await Promise.all(this.sidecars.map(({ process }) => process.kill()));
--- a/lab/fleet/child-process.ts
+++ b/lab/fleet/child-process.ts
@@ -1,12 +1,12 @@
 /**
- * Starts and ends one process and reads where it listens. Owns the process and its log file; relies on the line in
- * which every program announces its origins. Belongs to the lab: no program of the product starts a process.
+ * Starts and stops one child process. Every program writes a line of JSON with its id and the origins it listens on to
+ * its standard output; the start waits for that line.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import { openSync, writeSync } from 'node:fs';
 
-/** The line of a child's standard output that tells its id and the origins that it bound. */
+/** The line in which a program announces its id and the origins that it listens on. */
 export interface Announcement {
   readonly id: string;
   readonly origins: Readonly<Record<string, string>>;
@@ -14,7 +14,7 @@
 
 const START_TIMEOUT_MS = 20_000;
 
-/** The announcement in a line; undefined for log lines, which have a message. */
+/** Parses an announcement; returns undefined for log lines, which have a `msg` field, and for plain text. */
 function announcementOf(line: string): Announcement | undefined {
   try {
     const fields = JSON.parse(line) as Partial<Announcement> & { readonly msg?: string };
@@ -23,12 +23,12 @@
       ? undefined
       : { id, origins };
   } catch {
-    // A line that is no JSON is text of a child that fails; it stands in the log file.
+    // Not JSON: plain text, such as a stack trace; it goes to the log file only.
     return undefined;
   }
 }
 
-/** One process of a fleet. */
+/** A child process of a fleet. */
 export class FleetChild {
   private constructor(
     readonly name: string,
@@ -39,7 +39,7 @@
   /**
    * Starts `node script ...args` and waits for its announcement.
    * @param logFile receives standard output and standard error
-   * @throws when the child ends, or says nothing, before its announcement
+   * @throws when the child exits before its announcement, or does not announce itself in time
    */
   static async start(
     name: string,
@@ -75,19 +75,19 @@
     return this.child.pid ?? -1;
   }
 
-  /** Origin that the child bound under `name`. */
+  /** Origin that the child announced under `name`. @throws when there is none */
   origin(name: string): string {
     const origin = this.announcement.origins[name];
     if (origin === undefined) throw new Error(`${this.name} announced no origin '${name}'`);
     return origin;
   }
 
-  /** Sends a signal to this child alone. */
+  /** Sends a signal to this process only, not to its children. */
   signal(signal: NodeJS.Signals): void {
     this.child.kill(signal);
   }
 
-  /** Sends SIGTERM and waits for the end. @returns the exit code; null after a forced end */
+  /** Sends SIGTERM, and SIGKILL after `timeoutMs`. @returns the exit code; null if a signal ended the process */
   async stop(timeoutMs: number): Promise<number | null> {
     if (this.child.exitCode !== null) return this.child.exitCode;
     const ended = new Promise<number | null>((resolve) => this.child.once('exit', resolve));
@@ -98,7 +98,7 @@
     return code;
   }
 
-  /** Ends the child at once and waits for it. */
+  /** Sends SIGKILL and waits for the exit. */
   async kill(): Promise<void> {
     if (this.child.exitCode !== null || this.child.signalCode !== null) return;
     const ended = new Promise<void>((resolve) => this.child.once('exit', () => resolve()));
--- a/lab/fleet/control-replicas.ts
+++ b/lab/fleet/control-replicas.ts
@@ -1,6 +1,6 @@
 /**
- * Control replicas as processes, and an operator's access to them. Owns the processes, their addresses, which
- * stay the same over restarts, and their data folders.
+ * A group of control replicas as real processes, with API clients for them. Addresses and data folders stay the same
+ * across restarts.
  */
 import { hash } from 'node:crypto';
 import { rmSync } from 'node:fs';
@@ -11,7 +11,6 @@
 
 const OPERATOR_TOKEN = 'lab-operator-token';
 
-/** One control replica. */
 export interface ControlReplica {
   readonly process: ProgramProcess;
   readonly origin: string;
@@ -21,7 +20,7 @@
 export class ControlReplicas {
   private constructor(readonly all: readonly ControlReplica[]) {}
 
-  /** Starts one replica for each of the zones. @throws when one does not start; those that did are ended first */
+  /** Starts one replica per zone. @throws when one does not start; the others are killed first */
   static async start(workDir: string, zones: readonly string[]): Promise<ControlReplicas> {
     const ports = await freePorts(zones.length);
     const members = ports.map((port, index) => ({
@@ -52,22 +51,22 @@
     return this.all.map(({ origin }) => origin);
   }
 
-  /** A client with the right to write that may ask any replica. */
+  /** Creates a client with write permission that uses all replicas. */
   client(): ResourceClient {
     return new ResourceClient({ origins: this.origins, token: OPERATOR_TOKEN });
   }
 
-  /** A client with the right to write that asks one replica. */
+  /** Creates a client with write permission that uses one replica only. */
   clientOf({ origin }: ControlReplica): ResourceClient {
     return new ResourceClient({ origins: [origin], token: OPERATOR_TOKEN });
   }
 
-  /** Loses the disk of a replica whose process has ended. */
+  /** Deletes the data folder of a replica; its process must have exited. */
   loseDisk({ dataDir }: ControlReplica): void {
     rmSync(dataDir, { recursive: true, force: true });
   }
 
-  /** Ends all processes at once. */
+  /** Kills all processes. */
   async kill(): Promise<void> {
     await Promise.all(this.all.map(({ process }) => process.kill()));
   }
--- a/lab/fleet/demo.ts
+++ b/lab/fleet/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: Ratenwerk at its sizes of today as real processes, through a surge of three times the usual demand while
- * the ledger is slow. An experiment of its own that ends by itself and prints how it goes on.
+ * The demo: runs the Ratenwerk deployment as real processes through a surge of demand while its ledger service is slow,
+ * and prints the progress.
  */
 import { describeRun } from '../experiment/summary.js';
 import { scenarioSchema } from '../experiment/scenario.js';
--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a scenario on real processes: wires callers and faults to a fleet. Figures and promises are those of simulated
- * runs.
+ * Runs a scenario on real processes: connects callers and faults to a fleet. Evaluates the same metrics and promises
+ * as for simulated runs.
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -18,20 +18,20 @@
 import { Fleet } from './fleet.js';
 import { RunClock } from './run-clock.js';
 
-/** Links between processes are plain loopback here: nothing delays or cuts them. */
+/** Faults of links, which need the simulator: processes are connected by plain loopback. */
 const SIMULATED_ONLY: readonly Fault['type'][] = ['cut', 'slow-link'];
 
-/** Hears how a run goes on. */
+/** Receives the progress of a run. */
 export interface FleetRunListener {
   /** All processes are ready; their settings and logs are in `workDir`. */
   onReady(fleet: Fleet, workDir: string): void;
-  /** A second has passed. @param now milliseconds of the run */
+  /** Called every second. @param now milliseconds since the start of the run */
   onSecond(requests: readonly RequestRecord[], now: number): void;
 }
 
 const SECOND_MS = 1_000;
 
-/** @throws ValidationError when the scenario needs what only the simulator has */
+/** Runs a scenario. @throws ValidationError when it uses features that only the simulator supports */
 export async function runFleetExperiment(
   scenario: Scenario,
   loaded: LoadedDeployment,
@@ -121,6 +121,6 @@
       return;
     case 'cut':
     case 'slow-link':
-    // Refused before the start.
+    // Rejected by checkRunnableAsFleet.
   }
 }
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment of edges, nodes and targets as real processes on loopback, and what disturbs it. Owns the
- * processes and the records of what targets ran; relies on the stand-in back end for the targets' work.
+ * A complete deployment as real processes on loopback: control replicas, edges, nodes, and targets run by a stub back
+ * end. Injects faults and reads the execution records of the targets.
  */
 import { mkdirSync } from 'node:fs';
 import { join } from 'node:path';
@@ -20,10 +20,9 @@
 const READY_POLL_MS = 100;
 const CONTROL_REPLICAS = 3;
 
-/** Where a fleet keeps its files and how large it is. */
 interface FleetOptions {
   readonly deployment: Deployment;
-  /** File that the deployment was read from; children read it again. */
+  /** File of the deployment; the back ends read it again. */
   readonly deploymentFile: string;
   /** Folder with the declarations to apply. */
   readonly declarations: string;
@@ -33,7 +32,7 @@
   readonly seed: number;
 }
 
-/** A target, its node and their processes, which change with a restart. */
+/** A target and its node; a restart replaces their processes. */
 interface FleetTarget {
   readonly placement: TargetPlacement;
   backend: FleetChild;
@@ -49,7 +48,7 @@
     private readonly control: ControlReplicas,
   ) {}
 
-  /** Starts every process, applies the declarations, and waits until all are ready. */
+  /** Starts every process, applies the declarations, and waits until edges and nodes are ready. */
   static async start(options: FleetOptions): Promise<Fleet> {
     mkdirSync(options.workDir, { recursive: true });
     const { zones } = options.deployment;
@@ -81,7 +80,7 @@
     return found;
   }
 
-  /** Makes the work of all targets of a service take `factor` times as long. */
+  /** Multiplies the duration of the work of all targets of a service by `factor`. */
   async setSlow(service: string, factor: number): Promise<void> {
     const targets = this.targets.filter((target) => target.placement.service.name === service);
     await Promise.all(
@@ -89,19 +88,19 @@
     );
   }
 
-  /** Makes one target cold. */
+  /** Slows one target down by `factor` for `durationMs`, as after a cold start. */
   async startCold(nodeId: string, factor: number, durationMs: number): Promise<void> {
     const { backend } = this.target(nodeId);
     await this.command(backend, BACKEND_COMMANDS.cold, { factor, durationMs });
   }
 
-  /** Ends a target and its node at once. */
+  /** Kills a target and its node. */
   async killTarget(nodeId: string): Promise<void> {
     const { backend, node } = this.target(nodeId);
     await Promise.all([backend.kill(), node.kill()]);
   }
 
-  /** Starts a target and its node that were killed. */
+  /** Restarts a target and its node after {@link Fleet.killTarget}. */
   async restartTarget(nodeId: string): Promise<void> {
     const target = this.target(nodeId);
     const index = this.targets.indexOf(target);
@@ -110,14 +109,14 @@
     target.node = fresh.node;
   }
 
-  /** Stops a target and its node in the middle of whatever they do, or lets them go on. */
+  /** Suspends (SIGSTOP) or resumes (SIGCONT) a target and its node. */
   signalTarget(nodeId: string, signal: 'SIGSTOP' | 'SIGCONT'): void {
     const { backend, node } = this.target(nodeId);
     node.signal(signal);
     backend.signal(signal);
   }
 
-  /** What ran at each target since `from` (absolute milliseconds), by node id, in run time. */
+  /** Execution records by node id, with times relative to `from` (milliseconds since the epoch). */
   executions(from: number): Map<string, ExecutionRecord[]> {
     return new Map(
       this.targets.map(({ placement }) => {
@@ -128,7 +127,7 @@
     );
   }
 
-  /** Ends everything at once. */
+  /** Kills all processes. */
   async kill(): Promise<void> {
     const children = [
       ...this.edges,
@@ -201,7 +200,7 @@
     }
   }
 
-  /** Waits until every edge and node says that it is ready. */
+  /** Waits until every edge and node reports that it is ready. */
   private async waitUntilReady(): Promise<void> {
     const programs = [...this.edges, ...this.targets.map((target) => target.node)];
     const giveUpAt = Date.now() + READY_TIMEOUT_MS;
--- a/lab/fleet/free-ports.ts
+++ b/lab/fleet/free-ports.ts
@@ -1,16 +1,20 @@
-/** Finds ports of the loopback interface for processes that are restarted at the same address. */
+/** Finds free loopback ports for processes that restart at the same address. */
 import { once } from 'node:events';
 import { createServer } from 'node:net';
 
-/** The system hands out ports from 32,768 on to whoever asks for any, so a restarted process could lose one. */
+/** Below the ephemeral port range (from 32,768), so that no other socket takes the port during a restart. */
 const FIRST_PORT = 20_000;
 const LAST_PORT = 32_000;
-/** Runs that go on at the same time begin to look at different places. */
+/** Spreads the first port by process id, so that concurrent runs probe different ports. */
 const STRIDE = 97;
 
 let next = FIRST_PORT + ((process.pid * STRIDE) % (LAST_PORT - FIRST_PORT));
 
-/** Ports that nobody listens on now, each given only once by this process. @throws when there are none left */
+/**
+ * Returns ports that are not in use. Ports are probed in a cycle, so that none is returned twice before the range is
+ * exhausted.
+ * @throws when none is free
+ */
 export async function freePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   for (let tried = 0; ports.length < count; tried += 1) {
@@ -27,7 +31,7 @@
   try {
     await once(server.listen(port, '127.0.0.1'), 'listening');
   } catch {
-    // Somebody listens there.
+    // The port is in use.
     return false;
   }
   await once(server.close(), 'close');
--- a/lab/fleet/program-process.ts
+++ b/lab/fleet/program-process.ts
@@ -1,6 +1,6 @@
 /**
- * A program of the product as a process of its own on loopback, started with the same settings each time.
- * Owns the process and its settings file; logs and settings lie in a folder that the caller gives.
+ * A program of the product as a child process on loopback, restarted with the same settings each time. Its settings
+ * file and its log are in a folder of the caller.
  */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -11,16 +11,16 @@
 const PRODUCT_SCRIPT = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
 const LINK_TOKEN = 'lab-link-token-0123456789';
 
-/** An address whose port the system chooses. */
+/** A loopback address with a port chosen by the operating system. */
 export const ANY_PORT = { host: '127.0.0.1', port: 0 };
 
-/** Programs of the product, as the command line names them. */
+/** Programs of the product, by their command names. */
 export type ProgramName = 'control' | 'edge' | 'node' | 'sidecar';
 
 export class ProgramProcess {
   private child: FleetChild | undefined;
 
-  /** @param settings besides id, link token and admin address; the zone is `zone-a` unless they name one */
+  /** @param settings all but id, link token and admin address; `zone` defaults to `zone-a` */
   constructor(
     readonly id: string,
     private readonly program: ProgramName,
@@ -28,7 +28,7 @@
     private readonly settings: object,
   ) {}
 
-  /** Starts it and waits until it listens. @throws when the process ends, or says nothing, at its start */
+  /** Starts the process and waits for its announcement. @throws when it exits or does not announce itself in time */
   async start(): Promise<void> {
     const { id, program, workDir } = this;
     const file = join(workDir, `${id}.yaml`);
@@ -43,22 +43,22 @@
     return this.started.pid;
   }
 
-  /** Origin that the program bound under `name`. @throws before the first start, or when it bound none */
+  /** Origin that the program announced under `name`. @throws before the first start, or when there is none */
   origin(name: string): string {
     return this.started.origin(name);
   }
 
-  /** Sends a signal; nothing before the first start. */
+  /** Sends a signal; has no effect before the first start. */
   signal(signal: NodeJS.Signals): void {
     this.child?.signal(signal);
   }
 
-  /** Ends it as planned. @returns the exit code; null where it had to be killed after `timeoutMs` */
+  /** Sends SIGTERM, and SIGKILL after `timeoutMs`. @returns the exit code; null if a signal ended the process */
   async stop(timeoutMs: number): Promise<number | null> {
     return (await this.child?.stop(timeoutMs)) ?? null;
   }
 
-  /** Ends it at once and waits for its end. */
+  /** Sends SIGKILL and waits for the exit. */
   async kill(): Promise<void> {
     await this.child?.kill();
   }
--- a/lab/fleet/run-clock.ts
+++ b/lab/fleet/run-clock.ts
@@ -1,10 +1,10 @@
-/** Real time that counts from the start of a run, so that records compare with simulated ones. */
+/** A real-time clock that starts at 0 with a run, as the clock of simulated runs does. */
 import { SystemClock, type Clock, type Timer } from '../../src/common/clock.js';
 
 export class RunClock implements Clock {
   private readonly base = new SystemClock();
   private readonly startedAt = this.base.now();
-  /** Absolute milliseconds of the start. */
+  /** Start of the run, in milliseconds since the epoch. */
   readonly startedAtEpochMs = performance.timeOrigin + this.startedAt;
 
   now(): number {
--- a/lab/process/backend-process.ts
+++ b/lab/process/backend-process.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in back end as a process of its own: the model of the simulator behind an HTTP server, with paths by which
- * the lab makes it slow or cold. Owns its log of executions.
+ * A stub back end: an HTTP server in front of the back end model of the simulator. The lab controls it through paths
+ * below `/lab/`.
  */
 import { openSync, writeSync } from 'node:fs';
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
@@ -13,19 +13,18 @@
 import type { NestedCallModel, ServiceModel } from '../model/deployment.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** Names the logical request in every attempt and nested call. */
+/** Carries the id of the logical request in every attempt and nested call. */
 export const LAB_ID_HEADER = 'lab-id';
 const DEADLINE_HEADER = 'shoredoor-deadline-ms';
 const DEFAULT_DEADLINE_MS = 60_000;
 
-/** Commands that the lab sends to a back end, as paths. */
+/** Paths of the commands that the lab sends to a back end. */
 export const BACKEND_COMMANDS = {
   slow: '/lab/slow',
   cold: '/lab/cold',
   outbound: '/lab/outbound',
 } as const;
 
-/** A running back end. */
 export interface BackendProcess {
   readonly origin: string;
   close(): void;
@@ -33,7 +32,7 @@
 
 /**
  * Starts a back end on a free port of the loopback interface.
- * @param recordFile receives a line for each execution, which a kill of the process leaves there
+ * @param recordFile receives a line per execution, written synchronously, so that it survives a kill of the process
  */
 export async function startBackend(
   service: ServiceModel,
--- a/lab/process/http-attempt-sender.ts
+++ b/lab/process/http-attempt-sender.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of the lab's callers to edges over HTTP. Owns the connections. */
+/** Sends the attempts of the lab's callers to edges over HTTP. */
 import { Agent, request } from 'undici';
 import { VERDICT_HEADER } from '../../src/call/call-context.js';
 import { checkAnswer } from '../model/answer-body.js';
@@ -18,7 +18,7 @@
   check: undefined,
 };
 
-/** A sender that spreads attempts over edges in turn. */
+/** Creates a sender that distributes attempts over the edges in round-robin order. */
 export function createHttpSender(edgeOrigins: readonly string[]): AttemptSender {
   const agent = new Agent({ connections: MAX_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 });
   let nextEdge = 0;
--- a/lab/soak/crash-plan.ts
+++ b/lab/soak/crash-plan.ts
@@ -1,6 +1,6 @@
 /**
- * Runs in which targets crash: by themselves, and under requests that come again and again; beside kills and restarts of
- * sidecars and control replicas. Drawn from a seed. Pure.
+ * Plans of soak runs with crashing targets: spontaneous crashes, and requests that crash each target that runs them,
+ * along with kills and restarts of sidecars and control replicas. Drawn from a seed.
  */
 import type { RandomSource } from '../../src/common/random.js';
 import {
@@ -17,7 +17,7 @@
 const SLOTS = 48;
 const FIRST_FAULT_MS = 1_000;
 const FAULT_GAP_MS = 2_500;
-/** The calm begins this long before the end, in milliseconds. */
+/** Length of the fault-free period at the end of a run, in milliseconds. */
 const FAULT_FREE_END_MS = 9_000;
 const DEADLINE_MS = 2_500;
 const DEADLY_KINDS: readonly FaultKind[] = [FaultKind.DeadlyRequest, FaultKind.DeadlyCall];
@@ -29,7 +29,7 @@
   FaultKind.KillControl,
 ];
 
-/** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
+/** Draws a plan. @param durationMs duration of the traffic in milliseconds, longer than the fault-free period */
 export function drawCrashPlan(seed: number, durationMs: number): SoakPlan {
   const random = createPlanRandom(seed);
   const untilMs = durationMs - FAULT_FREE_END_MS;
@@ -52,7 +52,7 @@
   };
 }
 
-/** One or two deadly requests, each until the calm begins. */
+/** Draws one or two deadly requests, each repeated until the fault-free period begins. */
 function drawDeadlyFaults(random: RandomSource, untilMs: number): PlannedFault[] {
   return Array.from({ length: 1 + random.below(2) }, (_, index) => {
     const atMs = FIRST_FAULT_MS + random.below(3_000);
--- a/lab/soak/deadly-client.ts
+++ b/lab/soak/deadly-client.ts
@@ -1,4 +1,4 @@
-/** Sends a request that crashes its targets, the same one each time, by any machine. */
+/** Repeatedly sends the same deadly request, one that crashes each target that runs it, through random machines. */
 import { request } from 'undici';
 import type { RandomSource } from '../../src/common/random.js';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
@@ -6,12 +6,11 @@
 import { READ_PATH, SOAK_HOST } from './soak-operator.js';
 import { FaultKind, type PlannedFault } from './soak-plan.js';
 
-/** Begins the last part of the path of a request that crashes what runs it. */
+/** Prefix of the last path segment of a request that crashes the target that runs it. */
 export const DEADLY_PREFIX = 'deadly-';
-/** Begins that of a request whose run makes such calls. */
+/** Prefix of the last path segment of a request whose target makes a deadly call to the next service. */
 export const CALLS_DEADLY_PREFIX = 'calls-';
 
-/** What the sender works with. */
 export interface DeadlyClientContext {
   readonly random: RandomSource;
   readonly machines: readonly SoakMachine[];
@@ -24,7 +23,7 @@
 
   constructor(private readonly context: DeadlyClientContext) {}
 
-  /** Sends the request of a fault until its time is over. */
+  /** Sends the request until the duration of the fault has elapsed. */
   async run(fault: PlannedFault): Promise<void> {
     const { now, random, machines } = this.context;
     const untilMs = now() + fault.forMs;
@@ -48,7 +47,7 @@
       });
       await response.body.dump();
     } catch {
-      // Its sidecar is down, or the target took the answer with it: nothing else is expected.
+      // Expected: the sidecar is down, or the target crashed before it responded.
     }
   }
 }
--- a/lab/soak/exchange-end.ts
+++ b/lab/soak/exchange-end.ts
@@ -1,21 +1,20 @@
-/** How an exchange ended for the side that sent the request. */
+/** The outcome of an HTTP exchange as seen by the client. */
 import type { Dispatcher } from 'undici';
 
-/** What the sender got. */
 export interface ExchangeResult {
-  /** Status of the answer; 0 where the connection ended without a whole answer. */
+  /** Status of the response; 0 if the response was not received completely. */
   readonly status: number;
   readonly body: string;
-  /** Whether the sender did not wait any longer. */
+  /** Whether the client's own timeout ended the exchange. */
   readonly hasTimedOut: boolean;
 }
 
-/** Reads an answer to its end. @throws where it breaks off, or the sender gives up */
+/** Reads a response completely. @throws when the connection fails or the client's timeout expires */
 export async function readResponse(response: Dispatcher.ResponseData): Promise<ExchangeResult> {
   return { status: response.statusCode, body: await response.body.text(), hasTimedOut: false };
 }
 
-/** Refused, reset or too late: the sender has no whole answer. */
+/** Result of an exchange that failed: connection refused or reset, or timeout. */
 export function failedExchange(error: unknown): ExchangeResult {
   const hasTimedOut = error instanceof DOMException && error.name === 'TimeoutError';
   return { status: 0, body: '', hasTimedOut };
--- a/lab/soak/loopback-proxy.ts
+++ b/lab/soak/loopback-proxy.ts
@@ -1,18 +1,18 @@
 /**
- * A TCP proxy on loopback in front of one server. It can do what a loss of power does to connections: the server
- * forgets them, and nothing tells the client. And it can let them fall silent for good: they stay open on both
- * sides, and bytes vanish. New connections work in either case.
+ * A TCP proxy on loopback in front of one server. It simulates a power loss of the server (open connections are lost
+ * without a FIN or RST to the client) and links that drop all bytes while both ends stay connected. New connections
+ * work in either case.
  */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
-/** Directions in which a connection is silent. */
+/** Directions in which bytes are dropped. */
 export interface SilentDirections {
   readonly toServer: boolean;
   readonly toClient: boolean;
 }
 
 export class LoopbackProxy {
-  /** Client's side of every connection, with the server's side while it is known there. */
+  /** Server-side sockets by client-side socket; undefined once the server has lost the connection. */
   private readonly connections = new Map<Socket, Socket | undefined>();
 
   private readonly silenced = new Map<Socket, SilentDirections>();
@@ -24,7 +24,7 @@
     server.on('connection', (client) => this.onConnection(client));
   }
 
-  /** @param port port to listen on; a free one if absent */
+  /** @param port port to listen on; 0 selects a free one */
   static async start(targetPort: number, port = 0): Promise<LoopbackProxy> {
     const server = createServer();
     await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
@@ -35,7 +35,7 @@
     return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** The server forgets all open connections; clients see them as open. New ones are passed on. */
+  /** Drops the server side of all open connections; clients still see them as open. */
   forgetConnections(): void {
     for (const [client, upstream] of this.connections) {
       this.connections.set(client, undefined);
@@ -44,12 +44,12 @@
     }
   }
 
-  /** What is sent on the open connections vanishes from now on, in the directions given. */
+  /** Drops all further bytes on the connections open now, in the given directions. */
   silence(directions: SilentDirections): void {
     for (const client of this.connections.keys()) this.silenced.set(client, directions);
   }
 
-  /** Resets all open connections on both sides. */
+  /** Resets both sides of all open connections. */
   reset(): void {
     for (const [client, upstream] of this.connections) {
       client.resetAndDestroy();
@@ -76,7 +76,7 @@
       if (isKnown() && this.silenced.get(client)?.toClient !== true) client.write(bytes);
     });
     for (const side of [client, upstream]) {
-      // The other side hears of it by the close that follows.
+      // The 'close' event that follows closes the other side.
       side.on('error', () => side.destroy());
     }
     client.on('close', () => {
--- a/lab/soak/run-soak.ts
+++ b/lab/soak/run-soak.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one soak: real processes on loopback, faults from outside, and checks of what callers and targets see. Wires
- * fleet, targets, clients, operator and faults of a plan; what they see goes into a {@link SoakRecord}.
+ * Runs one soak test: real processes on loopback under injected faults. Connects the fleet, targets, clients, operator
+ * and faults of a plan; their observations go into a {@link SoakRecord}, which checks them.
  */
 import { existsSync, mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -16,36 +16,35 @@
 import { Check, SoakRecord, type Violation } from './soak-record.js';
 import { SoakTarget, type TargetContext } from './soak-target.js';
 
-/** How a run went. */
 export interface SoakResult {
   readonly violations: readonly Violation[];
-  /** How often each check could have failed. */
+  /** Number of evaluations of each check. */
   readonly chances: ReadonlyMap<Check, number>;
-  /** Part of all requests of clients that were answered with success, 0 to 1. */
+  /** Fraction of client requests that succeeded, 0 to 1. */
   readonly servedPart: number;
-  /** Where logs and the plan of the run are. */
+  /** Folder with the logs and the plan of the run. */
   readonly workDir: string;
 }
 
 const PLAN_FILE = 'plan.json';
 const REPORT_INTERVAL_MS = 500;
-/** Traffic starts once all know each other, and which routes targets call; in milliseconds. */
+/** Time for membership and routes to propagate before the plan starts, in milliseconds. */
 const WARMUP_MS = 4_000;
-/** Requests under way at the end are waited for. */
+/** Minimum wait for requests in flight at the end, in milliseconds. */
 const SETTLE_MS = 3_000;
-/** An accepted change is in force after this long on every machine that nothing is wrong with. */
+/** Time within which an accepted change must be in force on every machine without a fault, in milliseconds. */
 const IN_FORCE_MS = 2_000;
-/** Machines that something was wrong with so lately are not asked, in milliseconds. */
+/** Machines with a fault within this time are not checked, in milliseconds. */
 const FAULT_FREE_MS = 4_000;
 const MIN_SUCCESS_RATIO = 0.5;
 const MIN_SUCCESS_RATIO_AT_END = 0.9;
-/** Part of the calm end in which things may still recover, in milliseconds. */
+/** Time allowed for recovery at the start of the fault-free period, in milliseconds. */
 const RECOVERY_MS = 4_000;
 
-/** Runs a plan. @throws when a process does not start, or an earlier run has left its files in the folder */
+/** Runs a plan. @throws when a process does not start, or the folder holds the files of an earlier run */
 export async function runSoak(plan: SoakPlan, workDir: string): Promise<SoakResult> {
   if (existsSync(join(workDir, PLAN_FILE))) {
-    // Control replicas would start with the state of that run, whose addresses nobody has any more.
+    // Control replicas would load the state of that run, whose addresses are no longer valid.
     throw new UsageError(`${workDir} holds an earlier run; remove it, or name another folder`);
   }
   mkdirSync(workDir, { recursive: true });
@@ -169,7 +168,7 @@
       });
       await response.body.dump();
     } catch {
-      // The sidecar is down or paused: the next report tells it the same.
+      // The sidecar is down or paused; the next report repeats the registration.
     }
   }
 
--- a/lab/soak/soak-clients.ts
+++ b/lab/soak/soak-clients.ts
@@ -1,4 +1,4 @@
-/** The clients of a soak: on every machine, on kept connections that they use until the process is gone. */
+/** The clients of a soak: they send requests to the sidecar of each machine over keep-alive connections. */
 import { Agent, request } from 'undici';
 import { exponential, type RandomSource } from '../../src/common/random.js';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
@@ -9,18 +9,18 @@
 
 const MS_PER_SECOND = 1_000;
 const AT_MOST_ONCE_RATIO = 0.3;
-/** Of the requests, where some come once only. */
+/** With unique requests, every n-th request has a path of its own. */
 const UNIQUE_EVERY = 3;
 
-/** What the clients of a run share. */
+/** State shared by the clients of a run. */
 export interface ClientContext {
   readonly random: RandomSource;
   readonly record: SoakRecord;
   readonly now: () => number;
   readonly isOver: () => boolean;
-  /** Time that clients wait for an answer, in milliseconds. */
+  /** Client timeout, in milliseconds. */
   readonly deadlineMs: number;
-  /** Whether some requests come once only. */
+  /** Whether some requests have a path that no other request has. */
   readonly hasUniqueRequests: boolean;
 }
 
@@ -35,7 +35,7 @@
     private readonly perSecond: number,
   ) {}
 
-  /** Sends requests until the run is over. */
+  /** Sends requests at random intervals until the run is over. */
   start(): void {
     const gapMs = exponential(this.context.random, MS_PER_SECOND / this.perSecond);
     setTimeout(() => {
--- a/lab/soak/soak-faults.ts
+++ b/lab/soak/soak-faults.ts
@@ -1,4 +1,4 @@
-/** Injects the faults of a plan from outside: signals, the proxies of links, and what targets do wrong. */
+/** Injects the faults of a plan: signals to processes, network faults in the proxies, and misbehaviour of targets. */
 import type { ProgramProcess } from '../fleet/program-process.js';
 import type { DeadlyClient } from './deadly-client.js';
 import type { SoakFleet, SoakMachine, SoakReplica } from './soak-fleet.js';
@@ -8,10 +8,9 @@
 import type { SoakTarget } from './soak-target.js';
 
 const SLOWDOWN_FACTOR = 6;
-/** A fault may show this long after its end, in milliseconds. */
+/** Time after the end of a fault in which its effects may still show, in milliseconds. */
 const AFTERMATH_MS = 4_000;
 
-/** What faults act on. */
 export interface FaultContext {
   readonly fleet: SoakFleet;
   readonly targets: readonly SoakTarget[];
@@ -21,12 +20,12 @@
 }
 
 export class SoakFaults {
-  /** Processes that a fault has hold of: another one does not touch them meanwhile. */
+  /** Locks of processes with a fault in progress; a second fault on them is skipped. */
   private readonly affected = new Set<object>();
 
   constructor(private readonly context: FaultContext) {}
 
-  /** Injects one fault and resolves when it is over. @returns false where its victim was held by another */
+  /** Injects one fault and resolves when it is over. @returns false if another fault is in progress on its process */
   async inject(fault: PlannedFault): Promise<boolean> {
     const { machine, replica, target } = this.victimsOf(fault);
     const victim = this.lockOf(fault, machine);
@@ -53,7 +52,7 @@
     return { machine, replica, target: targets[machine.index]! };
   }
 
-  /** What a fault takes hold of; control replicas together, so that most of them are there at any time. */
+  /** The lock of a fault. All control replicas share one, so that a majority of them stays up. */
   private lockOf({ kind }: PlannedFault, machine: SoakMachine): object {
     if (kind === FaultKind.DeadlyRequest || kind === FaultKind.DeadlyCall) return {};
     return isControlFault(kind) ? this.context.fleet.replicas : machine.process;
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of a soak: control replicas and sidecars on loopback, restarted at the same addresses. Owns them and the
- * proxies before the sidecars; targets and clients live in the soak's own process.
+ * The processes of a soak: control replicas, and sidecars behind proxies, on loopback. They restart at the same
+ * addresses. Targets and clients run in the process of the soak itself.
  */
 import { join } from 'node:path';
 import { UsageError } from '../../src/common/errors.js';
@@ -12,14 +12,14 @@
 const HEARTBEAT_MS = 500;
 const MEMBER_LEASE_MS = 3_500;
 const ELECTION_TIMEOUT_MS = 600;
-/** Time from SIGTERM until a process is killed, in milliseconds. */
+/** Time from SIGTERM to SIGKILL, in milliseconds. */
 export const GRACE_MS = 6_000;
 const PORTS_PER_MACHINE = 3;
 
-/** The bound on repeats that the sidecars are given. */
+/** The retry budget in the settings of the sidecars. */
 export const RETRY_BOUND = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 
-/** A machine: a sidecar, and what stands between it and the other sidecars. */
+/** A machine: a sidecar, and the proxy through which other sidecars connect to it. */
 export interface SoakMachine {
   readonly index: number;
   readonly service: SoakService;
@@ -29,7 +29,6 @@
   readonly registration: string;
 }
 
-/** A control replica. */
 export interface SoakReplica {
   readonly process: ProgramProcess;
   readonly origin: string;
@@ -41,7 +40,7 @@
 
   private constructor(private readonly workDir: string) {}
 
-  /** Starts every process. @throws when one does not start; those that did are ended first */
+  /** Starts every process. @throws when one does not start; the others are killed first */
   static async start(plan: SoakPlan, workDir: string): Promise<SoakFleet> {
     const fleet = new SoakFleet(workDir);
     try {
@@ -54,7 +53,7 @@
     return fleet;
   }
 
-  /** Ends every process that was started here. */
+  /** Kills every process and closes the proxies. */
   async end(): Promise<void> {
     for (const { process, proxy } of this.machines) {
       await process.kill();
--- a/lab/soak/soak-operator.ts
+++ b/lab/soak/soak-operator.ts
@@ -1,11 +1,11 @@
-/** The operator of a soak: declares the routes, changes them, and asks machines whether a change is in force. */
+/** The operator of a soak: declares and changes the routes, and checks whether a machine has applied a change. */
 import { request } from 'undici';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
 import type { SoakReplica } from './soak-fleet.js';
 import type { SoakPlan, SoakService } from './soak-plan.js';
 
 export const SOAK_HOST = 'soak.example';
-/** Route whose requests may run more than once, and the one whose requests may not. */
+/** Path prefixes of the route with repeatable requests and of the one with at-most-once requests. */
 export const READ_PATH = '/read/';
 export const PLACE_PATH = '/place/';
 const RETRY_MS = 100;
@@ -13,7 +13,7 @@
 const STATUS_OK = 200;
 const STATUS_NO_ROUTE = 404;
 
-/** Path of the route by which targets call a service. */
+/** Path prefix of the route through which targets call a service. */
 export function nestedPath(service: SoakService): string {
   return `/nested-${service.name}/`;
 }
@@ -28,8 +28,8 @@
   ) {}
 
   /**
-   * Declares the next version, whose marker route no earlier one has, until it is taken.
-   * @returns the version; undefined when the run ended first
+   * Declares the next version, which has a marker route of its own; retries until a replica accepts it.
+   * @returns the version; undefined if the run ended first
    */
   async declareNext(): Promise<number | undefined> {
     const base = this.version;
@@ -56,15 +56,15 @@
       await response.body.dump();
       return response.statusCode === STATUS_OK;
     } catch {
-      // The replica is down, paused or slow: the same order goes to another one.
+      // The replica is down, paused or slow; the caller tries another one.
       return false;
     }
   }
 }
 
 /**
- * Whether a machine knows the marker route of a version and not that of the one before.
- * @returns undefined where the machine gave no answer that tells
+ * Whether a machine has the marker route of a version and no longer that of the previous one.
+ * @returns undefined if the machine did not respond
  */
 export async function isVersionInForce(
   outbound: string,
@@ -86,7 +86,7 @@
     await response.body.dump();
     return response.statusCode;
   } catch {
-    // No answer says nothing about the configuration.
+    // Without a response the configuration is unknown.
     return undefined;
   }
 }
--- a/lab/soak/soak-plan.ts
+++ b/lab/soak/soak-plan.ts
@@ -1,7 +1,7 @@
-/** What a soak run does, drawn from its seed: the deployment, and which faults come when. Pure. */
+/** The plan of a soak run: its deployment and its schedule of faults, drawn from a seed. */
 import { SeededRandom, type RandomSource } from '../../src/common/random.js';
 
-/** A fault that the soak injects from outside. */
+/** A kind of fault that the soak injects. */
 export enum FaultKind {
   KillSidecar = 'kill-sidecar',
   PauseSidecar = 'pause-sidecar',
@@ -15,10 +15,11 @@
   RejectCalls = 'reject-calls',
   LoseAnswers = 'lose-answers',
   SlowTargets = 'slow-targets',
-  /** A target ends by itself and is back after the fault's time. */
+  /** A target crashes and restarts after the duration of the fault. */
   CrashTarget = 'crash-target',
-  /** A request comes again and again, and every target that begins it crashes; in the second case the calls that it causes. */
+  /** A request, sent repeatedly, that crashes each target that runs it. */
   DeadlyRequest = 'deadly-request',
+  /** A request, sent repeatedly, whose target makes a deadly call to the next service. */
   DeadlyCall = 'deadly-call',
 }
 
@@ -28,49 +29,49 @@
   /** Milliseconds from the start of traffic. */
   readonly atMs: number;
   readonly forMs: number;
-  /** Number of the machine or replica that it hits, in the order of the deployment. */
+  /** Index of the affected machine or replica, in the order of the deployment. */
   readonly victim: number;
-  /** Part of the calls or answers, 0 to 1, where the kind has one. */
+  /** Fraction of affected calls or responses, 0 to 1, for the kinds that use it. */
   readonly part: number;
-  /** Milliseconds between the end of a stopped process and its next start. Default 0. */
+  /** Milliseconds from the exit of a stopped process to its restart. Default 0. */
   readonly restartAfterMs?: number;
-  /** Milliseconds from one arrival of a deadly request to the next. */
+  /** Milliseconds between two sends of a deadly request. */
   readonly gapMs?: number;
 }
 
-/** A service of the chain; each calls the next. */
+/** A service of the chain, in which each service calls the next. */
 export interface SoakService {
   readonly name: string;
   readonly machines: number;
   readonly slots: number;
   readonly workMs: number;
-  /** Calls that each run makes to the next service, one after the other. */
+  /** Sequential calls to the next service per request. */
   readonly callsPerRun: number;
 }
 
-/** A run. */
 export interface SoakPlan {
   readonly seed: number;
   readonly services: readonly SoakService[];
   readonly replicas: number;
-  /** Requests of clients a second, at each machine. */
+  /** Client requests per second at each machine. */
   readonly perSecond: number;
-  /** How long clients wait, and the time limit of the routes, in milliseconds. */
   readonly clientDeadlineMs: number;
+  /** Timeout of the routes, in milliseconds. */
   readonly timeoutMs: number;
-  /** Longest time that a target gives its own calls, in milliseconds. */
+  /** Maximum timeout of calls that targets make, in milliseconds. */
   readonly nestedDeadlineMs: number;
-  /** Length of the traffic, of which the last part has no faults. */
+  /** Duration of the traffic, including the fault-free period at its end. */
   readonly durationMs: number;
+  /** Duration of the fault-free period, in milliseconds. */
   readonly calmMs: number;
   readonly faults: readonly PlannedFault[];
-  /** When the operator changes the configuration, from the start of traffic. */
+  /** Times of configuration changes, in milliseconds from the start of traffic. */
   readonly changesAtMs: readonly number[];
-  /** Whether some requests of clients come once only; otherwise all of a route are alike. Default false. */
+  /** Whether some client requests have a path of their own; otherwise all of a route share one. Default false. */
   readonly hasUniqueRequests?: boolean;
 }
 
-/** Fixed, so that the plans of recorded seeds stay what they are. */
+/** The order is fixed: a recorded seed must draw the same plan. */
 const RANDOM_KINDS: readonly FaultKind[] = [
   FaultKind.KillSidecar,
   FaultKind.PauseSidecar,
@@ -89,15 +90,15 @@
 const EXTRA_SERVICES = 2;
 const MIN_MACHINES = 2;
 const EXTRA_MACHINES = 2;
-/** Control replicas of every run. */
+/** Number of control replicas. */
 export const REPLICAS = 3;
-/** A mean of one fault in this time, so that some overlap, in milliseconds. */
+/** Mean time between the starts of faults, in milliseconds; short enough that some overlap. */
 const FAULT_GAP_MS = 2_500;
 const FIRST_FAULT_MS = 2_000;
 const MAX_FAULT_MS = 3_000;
 const MIN_FAULT_MS = 300;
 const CHANGE_GAP_MS = 4_000;
-/** At the end nothing is wrong, so that recovery can be judged. */
+/** Fault-free period at the end of a run, in which recovery is checked, in milliseconds. */
 const FAULT_FREE_END_MS = 6_000;
 const MIN_PART = 0.1;
 const EXTRA_PART = 0.4;
@@ -106,15 +107,18 @@
 const TIMEOUT_MS = 2_000;
 const NESTED_DEADLINE_MS = 1_500;
 
-/** Spreads seeds that follow each other: their first draws are alike otherwise (the golden ratio, in 32 bits). */
+/** Multiplier that decorrelates consecutive seeds (2^32 divided by the golden ratio). */
 const SEED_FACTOR = 0x9e3779b1;
 
-/** The random source of a plan, unlike those of the seeds before and after. */
+/** Creates the random source of a plan; consecutive seeds give unrelated sequences. */
 export function createPlanRandom(seed: number): RandomSource {
   return new SeededRandom(Math.imul(seed, SEED_FACTOR) >>> 0);
 }
 
-/** Draws a run of all kinds of faults. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
+/**
+ * Draws a plan with mixed faults.
+ * @param durationMs duration of the traffic in milliseconds, longer than the fault-free period
+ */
 export function drawPlan(seed: number, durationMs: number): SoakPlan {
   const random = new SeededRandom(seed);
   const services = Array.from({ length: MIN_SERVICES + random.below(EXTRA_SERVICES) }, (_, index) =>
@@ -160,11 +164,12 @@
   });
 }
 
-/** Whether a fault hits a control replica, and not a machine with a target. */
+/** Whether a fault affects a control replica rather than a machine. */
 export function isControlFault(kind: FaultKind): boolean {
   return [FaultKind.KillControl, FaultKind.PauseControl, FaultKind.StopControl].includes(kind);
 }
 
+/** Draws times in milliseconds with a mean distance of `gapMs`, the first at `fromMs`. */
 export function drawTimes(
   random: RandomSource,
   fromMs: number,
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -1,11 +1,11 @@
 /**
- * What clients, targets and the operator of a soak have seen on their sockets, and what of it breaks a promise.
- * Pure: times are passed in.
+ * Records what clients, targets and the operator of a soak observe, and checks it against the promises of the product.
+ * Has no clock; times are passed in, in milliseconds.
  */
 import type { ExchangeResult } from './exchange-end.js';
 import { ArrivalLedger, type ArrivalBound } from '../simulator/sidecars/arrival-ledger.js';
 
-/** The promises that a run checks. */
+/** The checks of a run, by the names that reports print. */
 export enum Check {
   AtMostOnce = 'at most once',
   NotRunIsTrue = 'not run is true',
@@ -20,63 +20,71 @@
   NoFalseQuarantine = 'no innocent request quarantined',
 }
 
-/** A promise that was broken. */
+/** A check that failed. */
 export interface Violation {
   readonly check: Check;
   readonly detail: string;
 }
 
-/** How one request ended, of a client or of a target. */
+/** The outcome of one request of a client, or of a call of a target. */
 export interface RequestOutcome extends ExchangeResult {
   readonly id: string;
-  /** Machine whose sidecar it was sent to. */
+  /** Index of the machine whose sidecar received it. */
   readonly machine: number;
-  /** Whether a target made it. */
+  /** Whether a target sent it. */
   readonly isNested: boolean;
-  /** Whether targets crash under it. Default false. */
+  /** Whether it crashes the targets that run it. Default false. */
   readonly isDeadly?: boolean;
-  /** How long its sender waits, in milliseconds. */
+  /** Timeout of its sender, in milliseconds. */
   readonly deadlineMs: number;
   readonly sentAt: number;
   readonly endedAt: number;
 }
 
-/** Time in which something is wrong with a machine. */
+/** A period in which a machine is stopping or affected by a fault. */
 export interface Disturbance {
   readonly machine: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** What a run has to reach, and what it is held against. */
+/** Thresholds of the checks. */
 export interface SoakBounds {
   readonly retries: ArrivalBound;
-  /** Part of all requests that have to be answered with success. */
+  /** Minimum fraction of client requests that succeed, 0 to 1. */
   readonly minSuccessRatio: number;
-  /** Part of the requests of the calm end that have to be. */
+  /** The same for requests sent from `recoveredAt` on. */
   readonly minSuccessRatioAtEnd: number;
-  /** From this moment on nothing is wrong any more and recovery is over, in milliseconds. */
+  /** Time at which recovery must be complete, in milliseconds. */
   readonly recoveredAt: number;
 }
 
-/** A request that crashes its targets is kept from them this long after so many crashes, in milliseconds, but for a few. */
+/** Crashes after which a deadly request must be quarantined. */
 const CRASHES_BEFORE_QUARANTINE = 3;
+/** Time allowed for the quarantine to take effect, in milliseconds. */
 const MAX_QUARANTINE_DELAY_MS = 3_000;
+/** Runs of a deadly request that are allowed after that time. */
 const MAX_LATE_RUNS = 3;
-/** In the body of a refusal for it. */
+/** Substring of the body of a refusal due to quarantine. */
 const QUARANTINE_PROBLEM = 'problem:quarantined';
 
 const STATUS_OK = 200;
 const STATUS_FAILED = 500;
-/** A request that was sent in the first half of a stop may last into its last sixth: no stop can wait longer. */
+/**
+ * A request sent in the first half of the grace period that is still running in its last sixth may be cut: a stop can
+ * not wait any longer.
+ */
 const EARLY_PART = 0.5;
 const LAST_PART = 5 / 6;
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and will not run. */
 const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
-/** A request that nothing else has disturbed this long before its end was cut by the stop, in milliseconds. */
+/**
+ * A failure is attributed to a stop only if no fault occurred during the request or within
+ * this time before it, in milliseconds.
+ */
 const UNDISTURBED_MS = 3_000;
 
-/** When a request that crashes its targets was begun, and when they crashed under it, in milliseconds. */
+/** Times of the runs of a deadly request and of the crashes that it caused, in milliseconds. */
 interface DeadlyHistory {
   readonly runsAt: number[];
   readonly crashesAt: number[];
@@ -93,17 +101,17 @@
   private readonly foundViolations: Violation[] = [];
   private readonly checkCounts = new Map<Check, number>();
 
-  /** A target begins to run a request. */
+  /** A target starts to run a request. */
   onRun(id: string): void {
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
   }
 
-  /** A target begins a request that crashes it. */
+  /** A target starts to run a deadly request. */
   onDeadlyRun(name: string, atMs: number): void {
     this.historyOf(name).runsAt.push(atMs);
   }
 
-  /** A target crashes under such a request. */
+  /** A target crashes because of a deadly request. */
   onDeadlyCrash(name: string, atMs: number): void {
     this.historyOf(name).crashesAt.push(atMs);
   }
@@ -117,17 +125,17 @@
     this.outcomes.push(outcome);
   }
 
-  /** Something goes wrong with a machine for a time. */
+  /** A machine is affected by a fault for a time. */
   onDisturbance(disturbance: Disturbance): void {
     this.disturbances.push(disturbance);
   }
 
-  /** A sidecar is stopped as planned. */
+  /** A planned stop of a sidecar begins. */
   onStop(stop: Disturbance): void {
     this.stops.push(stop);
   }
 
-  /** A process that was stopped as planned has ended. @param isByItself false where it had to be killed */
+  /** A planned stop has ended. @param isByItself whether the process exited without SIGKILL */
   onStopped(process: string, isByItself: boolean): void {
     this.countCheck(Check.StopInTime);
     if (isByItself) return;
@@ -135,13 +143,13 @@
     this.foundViolations.push({ check: Check.StopInTime, detail });
   }
 
-  /** A machine in touch was asked whether an accepted change is in force. */
+  /** A machine without a fault was checked for an accepted configuration change. */
   onConfigurationRead(isInForce: boolean, detail: string): void {
     this.countCheck(Check.InForceInTime);
     if (!isInForce) this.foundViolations.push({ check: Check.InForceInTime, detail });
   }
 
-  /** Everything that broke a promise, once the run is over. */
+  /** Evaluates all checks; to be called once, after the run. @returns the violations */
   violations(bounds: SoakBounds): Violation[] {
     this.checkRuns();
     for (const outcome of this.outcomes) this.checkOutcome(outcome);
@@ -154,12 +162,12 @@
     return this.foundViolations;
   }
 
-  /** Part of all requests of clients that were answered with success, 0 to 1. */
+  /** Fraction of client requests that succeeded, 0 to 1. */
   get successRatio(): number {
     return successRatioOf(this.outcomes.filter(({ isNested }) => !isNested));
   }
 
-  /** How often each check could have failed; one with none counts as not run. */
+  /** Number of evaluations of a check; 0 means that it was not exercised. */
   checkCountOf(check: Check): number {
     return this.checkCounts.get(check) ?? 0;
   }
@@ -201,8 +209,8 @@
   }
 
   /**
-   * A request that was read before the stop, or that has run, ends with its target's answer, with a promise that it has
-   * not run, or by its own deadline.
+   * Checks that a planned stop does not cut requests: one that was sent before the stop, or that has run, must get the
+   * response of its target, a guarantee that it has not run, or time out at its own deadline.
    */
   private checkStop(outcome: RequestOutcome): void {
     const { id, machine, sentAt, endedAt, status, hasTimedOut, deadlineMs } = outcome;
@@ -271,7 +279,7 @@
   }
 }
 
-/** Whether a request that came in good time was still worked on when its process had to end. */
+/** Whether a request sent early in the grace period was still running near its end. */
 function isBeyondGrace(
   { sentAt, endedAt }: RequestOutcome,
   { fromMs, untilMs }: Disturbance,
@@ -281,7 +289,7 @@
   return isEarly && endedAt >= fromMs + LAST_PART * graceMs;
 }
 
-/** Whether a failure is not the target's own. */
+/** Whether a failure response does not come from the target itself. */
 function isForeignFailure({ id, status, body }: RequestOutcome): boolean {
   return status >= STATUS_FAILED && body !== answerBody(id);
 }
@@ -290,7 +298,7 @@
   return outcomes.filter(({ status }) => status === STATUS_OK).length / outcomes.length;
 }
 
-/** The whole body of the answer to a request. */
+/** The complete response body for a request. */
 export function answerBody(id: string): string {
   return `answer to ${id}.`;
 }
--- a/lab/soak/soak-target.ts
+++ b/lab/soak/soak-target.ts
@@ -1,6 +1,6 @@
 /**
- * A target of a soak: an HTTP server in the soak's own process that works on calls, makes calls of its own through
- * its sidecar, writes down what it runs, and fails as it is told.
+ * A target of a soak: an HTTP server in the process of the soak that simulates work, calls the next service through its
+ * sidecar, records the requests it runs, and fails on demand.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -12,50 +12,49 @@
 import { answerBody, type SoakRecord } from './soak-record.js';
 import type { SoakService } from './soak-plan.js';
 
-/** What a target does wrong now. */
+/** The failures that a target currently injects. */
 export interface TargetMisbehaviour {
-  /** Part of the calls that it turns away without running them, 0 to 1. */
+  /** Fraction of calls rejected without running them, 0 to 1. */
   rejectedPart: number;
-  /** Part of the answers that are lost after the run, 0 to 1. */
+  /** Fraction of responses lost after the run, 0 to 1. */
   lostPart: number;
-  /** Multiple of its usual work. */
+  /** Factor by which the work takes longer. */
   slowdownFactor: number;
 }
 
-/** What the targets of a run share. */
+/** State shared by the targets of a run. */
 export interface TargetContext {
   readonly random: RandomSource;
   readonly record: SoakRecord;
   readonly now: () => number;
-  /** Requests that repeated runs have made: their arrivals are repeats. */
+  /** Ids of calls made by repeated runs; their arrivals count as repeats. */
   readonly repeatedIds: Set<string>;
-  /** Requests that have arrived at any target. */
+  /** Ids of requests that have arrived at any target. */
   readonly seenIds: Set<string>;
   readonly host: string;
-  /** Longest time that calls of a target are given, in milliseconds. */
+  /** Maximum timeout of calls that a target makes, in milliseconds. */
   readonly nestedDeadlineMs: number;
 }
 
-/** One request that a target works on. */
+/** A request that a target is running. */
 interface TargetRun {
   readonly id: string;
   readonly isRepeat: boolean;
   readonly response: ServerResponse;
   readonly deadlineAt: number;
-  /** Last part of the path of the calls that it makes. */
+  /** Last path segment of the calls that it makes. */
   readonly callSegment: string;
 }
 
-/** What a target needs to know of its options. */
 export interface TargetOptions {
   readonly machine: number;
   readonly service: SoakService;
-  /** Path of the route that leads to the next service; undefined for the last. */
+  /** Path prefix of the route to the next service; undefined for the last service. */
   readonly nextPath: string | undefined;
   readonly outboundOrigin: string;
 }
 
-/** How long a target runs a request that crashes it, and how long it is down then, in milliseconds. */
+/** Delay from the start of a deadly request to the crash, and downtime after it, in milliseconds. */
 const MIN_CRASH_DELAY_MS = 40;
 const EXTRA_CRASH_DELAY_MS = 80;
 const MIN_DOWN_MS = 1_500;
@@ -100,7 +99,7 @@
     return `instance-${this.options.machine}-${this.incarnation}`;
   }
 
-  /** `HOST:PORT` that it serves. */
+  /** Listening address, as `HOST:PORT`. */
   get address(): string {
     return `127.0.0.1:${this.port}`;
   }
@@ -110,12 +109,12 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Whether it says nothing, and refuses connections. */
+  /** Whether it is down: it refuses connections and must not be reported to its sidecar. */
   get isCrashed(): boolean {
     return this.isDown;
   }
 
-  /** Ends like a process that crashes, and is back as another incarnation at the same address. */
+  /** Resets all connections, stays down for `downMs`, and restarts as a new incarnation at the same address. */
   async crash(downMs: number): Promise<void> {
     if (this.isDown) return;
     this.isDown = true;
@@ -161,7 +160,7 @@
     else response.writeHead(status).end(answerBody(id));
   }
 
-  /** Begins a request that crashes it. */
+  /** Runs a deadly request and crashes. */
   private async crashOn(name: string): Promise<void> {
     const { record, random, now } = this.context;
     record.onDeadlyRun(name, now());
@@ -172,7 +171,7 @@
     await this.crash(MIN_DOWN_MS + random.below(EXTRA_DOWN_MS));
   }
 
-  /** @returns whether the arrival is a repeat */
+  /** Records an arrival. @returns whether it is a repeat */
   private countArrival(id: string): boolean {
     const { record, repeatedIds, seenIds, now } = this.context;
     const isRepeat = repeatedIds.has(id) || seenIds.has(id);
@@ -183,7 +182,7 @@
     return isRepeat;
   }
 
-  /** Works in as many parts as there are calls, and one more. @returns the status of the answer */
+  /** Splits the work into equal parts with a call between two of them. @returns the status of the response */
   private async run(run: TargetRun): Promise<number> {
     const { callsPerRun, workMs } = this.options.service;
     const calls = this.options.nextPath === undefined ? 0 : callsPerRun;
@@ -196,14 +195,14 @@
     return STATUS_OK;
   }
 
-  /** @returns whether the work was done before the run's deadline */
+  /** @returns whether the work finished before the deadline of the request */
   private async work(durationMs: number, { deadlineAt }: TargetRun): Promise<boolean> {
     const leftMs = deadlineAt - this.context.now();
     await new Promise((resolve) => setTimeout(resolve, Math.min(durationMs, leftMs)));
     return durationMs < leftMs;
   }
 
-  /** @returns whether the next service answered with success */
+  /** @returns whether the call to the next service succeeded */
   private async callNext({
     id: parent,
     isRepeat,
--- a/lab/soak/stop-plan.ts
+++ b/lab/soak/stop-plan.ts
@@ -1,6 +1,6 @@
 /**
- * Runs in which planned stops of sidecars are the only fault, in series and overlapping, while targets make many calls
- * one after the other. Drawn from a seed. Pure.
+ * Plans of soak runs whose only faults are planned stops and reloads of sidecars, partly overlapping, while targets
+ * make many sequential calls. Drawn from a seed.
  */
 import type { RandomSource } from '../../src/common/random.js';
 import {
@@ -21,7 +21,7 @@
 const FAULT_FREE_END_MS = 10_000;
 const DEADLINE_MS = 6_000;
 
-/** How requests go: many short runs, or few that last for seconds. */
+/** The load: many short requests, or few that take seconds. */
 interface Load {
   readonly perSecond: number;
   readonly callsPerRun: number;
@@ -29,7 +29,7 @@
   readonly stopGapMs: number;
 }
 
-/** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
+/** Draws a plan. @param durationMs duration of the traffic in milliseconds, longer than the fault-free period */
 export function drawStopPlan(seed: number, durationMs: number): SoakPlan {
   const random = createPlanRandom(seed);
   const load = random.next() < 0.5 ? longRuns(random) : shortRuns(random);
@@ -58,7 +58,7 @@
   };
 }
 
-/** Of 3 to 5 s, as many as two front machines can work on. */
+/** Requests of 3 to 5 s, at a rate that two of the front machines can sustain. */
 function longRuns(random: RandomSource): Load {
   const callsPerRun = 9 + random.below(6);
   const runMs = 3_000 + random.below(2_000);
--- a/test/lab/fleet-experiment.test.ts
+++ b/test/lab/fleet-experiment.test.ts
@@ -4,7 +4,7 @@
 import { loadDeployment } from '../../lab/model/load-deployment.js';
 import type { ValidationError } from '../../src/common/errors.js';
 
-/** What a run as processes is refused for. */
+/** Returns the paths of the faults for which the scenario is rejected; empty if it runs. */
 async function refusedFor(scenario: ReturnType<typeof findScenario>): Promise<string[]> {
   try {
     await runFleetExperiment(scenario, loadDeployment(scenario.deployment), 1);
--- a/test/lab/soak.test.ts
+++ b/test/lab/soak.test.ts
@@ -8,14 +8,13 @@
 import { answerBody, Check, SoakRecord, type SoakBounds } from '../../lab/soak/soak-record.js';
 import { runSoak } from '../../lab/soak/run-soak.js';
 
-/** The run in CI. */
 const CI_SEED = 1;
 const CI_DURATION_MS = 20_000;
 const CI_STOP_SEED = 106;
 const CI_STOP_DURATION_MS = 24_000;
 const CI_CRASH_SEED = 1;
 const CI_CRASH_DURATION_MS = 22_000;
-/** Fewer requests around stops than this would say nothing. */
+/** Minimum number of requests around stops for a meaningful run. */
 const LEAST_CHANCES = 20;
 
 const BOUNDS: SoakBounds = {
@@ -25,11 +24,11 @@
   recoveredAt: 20_000,
 };
 
-/** What all endings of these tests share. */
+/** Fields shared by all outcomes. */
 const OF_CLIENT = { machine: 0, isNested: false, deadlineMs: 2_500, hasTimedOut: false };
 
 describe('the checks of a soak', () => {
-  /** What a run finds in which one client's request got this status, and whatever `also` happened. */
+  /** Returns the failed checks of a run with ten successful requests, one with `status`, and the events of `also`. */
   function found(status: number, also: (record: SoakRecord) => void = () => undefined): Check[] {
     const record = new SoakRecord();
     record.arrivals.onRequest('service', 0);
@@ -131,7 +130,7 @@
     });
   }
 
-  /** What is found of a call that a target sent this long after the signal, and that ended 100 ms later. */
+  /** Returns the failed checks for a target's call sent `afterMs` after the stop signal and ended 100 ms later. */
   function foundOfCall(
     afterMs: number,
     status: number,
@@ -176,10 +175,6 @@
     expect(drawPlan(5, 20_000)).not.to.deep.equal(drawPlan(6, 20_000));
   });
 
-  /**
-   * Planned stops in series, runs of targets that outlast them. Before stopping sidecars bounded what they take, calls that
-   * targets made in the last tenth of a second before their end were cut.
-   */
   it('is not run in a folder that holds another run', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'shoredoor-soak-'));
     writeFileSync(join(folder, 'plan.json'), '{}');
@@ -190,6 +185,7 @@
     rmSync(folder, { recursive: true });
   });
 
+  // Guards against stopping sidecars that accept calls of targets which they can't finish before their exit.
   it('cuts nothing by planned stops', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'shoredoor-soak-'));
     const plan = drawStopPlan(CI_STOP_SEED, CI_STOP_DURATION_MS);
