--- a/bench/cold-calls.ts
+++ b/bench/cold-calls.ts
@@ -79,7 +79,7 @@
 function parseRounds(value: string | number): number {
   const rounds = Number(value);
   if (Number.isInteger(rounds) && rounds > 0) return rounds;
-  throw new Error(`--rounds takes a whole number above 0: ${value}`);
+  throw new Error(`--rounds must be a whole number above 0, but is ${value}`);
 }
 
 const LAST_INTERVAL_END = INTERVAL_ENDS.at(-1)!;
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -115,7 +115,9 @@
 function parseSizes(text: string): number[] {
   const sizes = text.split(',').map(Number);
   if (sizes.some((size) => !Number.isInteger(size) || size < 2)) {
-    throw new Error(`--sizes takes whole numbers of at least 2, with commas between: ${text}`);
+    throw new Error(
+      `--sizes must be whole numbers of at least 2, separated by commas, but is ${text}`,
+    );
   }
   return sizes;
 }
--- a/lab/fleet/child-process.ts
+++ b/lab/fleet/child-process.ts
@@ -56,7 +56,7 @@
       }, START_TIMEOUT_MS);
       child.once('exit', (code) => {
         clearTimeout(timer);
-        reject(new Error(`${name} ended with ${code}; see ${logFile}`));
+        reject(new Error(`${name} exited with code ${code}; see ${logFile}`));
       });
       createInterface({ input: child.stdout! }).on('line', (line) => {
         writeSync(log, `${line}\n`);
--- a/lab/fleet/fleet-experiment.ts
+++ b/lab/fleet/fleet-experiment.ts
@@ -78,14 +78,14 @@
 function checkRunnableAsFleet({ faults: planned, mechanisms }: Scenario): void {
   const faults = planned.flatMap(({ type }, index) =>
     SIMULATED_ONLY.includes(type)
-      ? [{ path: `faults[${index}].type`, message: `'${type}' runs in mode simulate only` }]
+      ? [{ path: `faults[${index}].type`, message: `'${type}' is supported in mode simulate only` }]
       : [],
   );
   if (!isDeepStrictEqual(mechanisms, mechanismsSchema.parse({}))) {
-    faults.push({ path: 'mechanisms', message: 'switches act in mode simulate only' });
+    faults.push({ path: 'mechanisms', message: 'switches are supported in mode simulate only' });
   }
   if (faults.length === 0) return;
-  throw new ValidationError('the scenario can not run as a fleet', { props: { faults } });
+  throw new ValidationError('the scenario cannot run as a fleet', { props: { faults } });
 }
 
 function wait(clock: RunClock, delayMs: number): Promise<void> {
--- a/lab/fleet/free-ports.ts
+++ b/lab/fleet/free-ports.ts
@@ -18,7 +18,7 @@
 export async function freePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   for (let tried = 0; ports.length < count; tried += 1) {
-    if (tried > LAST_PORT - FIRST_PORT) throw new Error('no port is free');
+    if (tried > LAST_PORT - FIRST_PORT) throw new Error('no free loopback port is left');
     const port = next;
     next = next >= LAST_PORT ? FIRST_PORT : next + 1;
     if (await isFree(port)) ports.push(port);
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -48,7 +48,7 @@
       await fleet.startMachines(plan.services);
     } catch (error) {
       await fleet.end();
-      throw new UsageError(`the soak's processes did not start: ${String(error)}`);
+      throw new UsageError(`could not start the processes of the soak: ${String(error)}`);
     }
     return fleet;
   }
--- a/test/cli/failed-start.test.ts
+++ b/test/cli/failed-start.test.ts
@@ -48,6 +48,6 @@
       failure = String(error);
     }
     holder.close();
-    expect(failure).to.contain('ended with 1');
+    expect(failure).to.contain('exited with code 1');
   });
 });
