--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -68,10 +68,10 @@
   }
 
   private async declare(): Promise<void> {
-    const place = { host: BENCH_HOST, pathPrefix: '/bench/', service: 'callee' };
+    const match = { host: BENCH_HOST, pathPrefix: '/bench/', service: 'callee' };
     const limits = { timeoutMs: 5_000, objectiveMs: 2_000, rank: 0, maxTargets: 2 };
     const resources = [
-      { kind: 'Route', name: 'item', spec: { ...place, ...limits, semantics: 'repeatable' } },
+      { kind: 'Route', name: 'item', spec: { ...match, ...limits, semantics: 'repeatable' } },
       ...SERVICES.map((name) => ({ kind: 'Service', name, spec: { connections: 128 } })),
     ];
     for (;;) {
--- a/lab/soak/loopback-proxy.ts
+++ b/lab/soak/loopback-proxy.ts
@@ -68,12 +68,12 @@
   private onConnection(client: Socket): void {
     const upstream = connect(this.targetPort, '127.0.0.1');
     this.connections.set(client, upstream);
-    const isKnown = (): boolean => this.connections.get(client) !== undefined;
+    const isForwarding = (): boolean => this.connections.get(client) !== undefined;
     client.on('data', (bytes) => {
       if (this.silenced.get(client)?.toServer !== true) upstream.write(bytes);
     });
     upstream.on('data', (bytes) => {
-      if (isKnown() && this.silenced.get(client)?.toClient !== true) client.write(bytes);
+      if (isForwarding() && this.silenced.get(client)?.toClient !== true) client.write(bytes);
     });
     for (const side of [client, upstream]) {
       // The 'close' event that follows closes the other side.
@@ -85,7 +85,7 @@
       upstream.destroy();
     });
     upstream.on('close', () => {
-      if (isKnown()) client.destroy();
+      if (isForwarding()) client.destroy();
     });
   }
 }
--- a/lab/soak/run-soak.ts
+++ b/lab/soak/run-soak.ts
@@ -10,7 +10,7 @@
 import { DeadlyClient } from './deadly-client.js';
 import { SoakClients } from './soak-clients.js';
 import { SoakFaults } from './soak-faults.js';
-import { RETRY_BOUND, SoakFleet, type SoakMachine } from './soak-fleet.js';
+import { RETRY_BUDGET, SoakFleet, type SoakMachine } from './soak-fleet.js';
 import { isVersionInForce, nestedPath, SOAK_HOST, SoakOperator } from './soak-operator.js';
 import type { PlannedFault, SoakPlan } from './soak-plan.js';
 import { Check, SoakRecord, type Violation } from './soak-record.js';
@@ -71,6 +71,7 @@
   private readonly clients: SoakClients[] = [];
   private readonly operator: SoakOperator;
   private readonly faults: SoakFaults;
+  /** Times at which the last fault of each machine ended, by machine index; Infinity while one is in progress. */
   private readonly lastFaultAt = new Map<number, number>();
   private reportTimer: NodeJS.Timeout | undefined;
   private sequence = 0;
@@ -108,7 +109,7 @@
     await Promise.all(pending);
     await this.waitUntil(this.now() + Math.max(SETTLE_MS, plan.clientDeadlineMs));
     return record.violations({
-      retries: RETRY_BOUND,
+      retries: RETRY_BUDGET,
       minSuccessRatio: MIN_SUCCESS_RATIO,
       minSuccessRatioAtEnd: MIN_SUCCESS_RATIO_AT_END,
       recoveredAt: from + plan.durationMs - plan.calmMs + RECOVERY_MS,
--- a/lab/soak/soak-faults.ts
+++ b/lab/soak/soak-faults.ts
@@ -21,23 +21,23 @@
 
 export class SoakFaults {
   /** Locks of processes with a fault in progress; a second fault on them is skipped. */
-  private readonly affected = new Set<object>();
+  private readonly locks = new Set<object>();
 
   constructor(private readonly context: FaultContext) {}
 
   /** Injects one fault and resolves when it is over. @returns false if another fault is in progress on its process */
   async inject(fault: PlannedFault): Promise<boolean> {
     const { machine, replica, target } = this.victimsOf(fault);
-    const victim = this.lockOf(fault, machine);
-    if (this.affected.has(victim)) return false;
-    this.affected.add(victim);
+    const lock = this.lockOf(fault, machine);
+    if (this.locks.has(lock)) return false;
+    this.locks.add(lock);
     const fromMs = this.context.now();
     const isPlanned =
       fault.kind === FaultKind.StopSidecar || fault.kind === FaultKind.ReloadSidecar;
     if (!isPlanned) this.recordDisturbance(machine, fromMs, fromMs + fault.forMs + AFTERMATH_MS);
     await this.apply(fault, machine, replica, target);
     if (!isPlanned) this.recordDisturbance(machine, fromMs, this.context.now() + AFTERMATH_MS);
-    this.affected.delete(victim);
+    this.locks.delete(lock);
     return true;
   }
 
--- a/lab/soak/soak-fleet.ts
+++ b/lab/soak/soak-fleet.ts
@@ -17,7 +17,7 @@
 const PORTS_PER_MACHINE = 3;
 
 /** The retry budget in the settings of the sidecars. */
-export const RETRY_BOUND = { ratio: 0.2, slack: 40, windowMs: 10_000 };
+export const RETRY_BUDGET = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 
 /** A machine: a sidecar, and the proxy through which other sidecars connect to it. */
 export interface SoakMachine {
@@ -107,7 +107,7 @@
       registration: { host: '127.0.0.1', port: registration },
       control,
       heartbeatIntervalMs: HEARTBEAT_MS,
-      retries: RETRY_BOUND,
+      retries: RETRY_BUDGET,
       stop: { graceMs: GRACE_MS },
     });
     this.machines.push({
--- a/lab/soak/soak-record.ts
+++ b/lab/soak/soak-record.ts
@@ -82,7 +82,7 @@
  * A failure is attributed to a stop only if no fault occurred during the request or within
  * this time before it, in milliseconds.
  */
-const UNDISTURBED_MS = 3_000;
+const DISTURBANCE_MARGIN_MS = 3_000;
 
 /** Times of the runs of a deadly request and of the crashes that it caused, in milliseconds. */
 interface DeadlyHistory {
@@ -135,10 +135,10 @@
     this.stops.push(stop);
   }
 
-  /** A planned stop has ended. @param isByItself whether the process exited without SIGKILL */
-  onStopped(process: string, isByItself: boolean): void {
+  /** A planned stop has ended. @param hasExitedInTime whether the process exited without SIGKILL */
+  onStopped(process: string, hasExitedInTime: boolean): void {
     this.countCheck(Check.StopInTime);
-    if (isByItself) return;
+    if (hasExitedInTime) return;
     const detail = `${process} was still there at the end of its grace time`;
     this.foundViolations.push({ check: Check.StopInTime, detail });
   }
@@ -222,7 +222,7 @@
     if (sentAt > stop.fromMs && !hasRun) return;
     if (isBeyondGrace(outcome, stop)) return;
     const isDisturbed = this.disturbances.some(
-      (each) => each.fromMs <= endedAt && each.untilMs >= sentAt - UNDISTURBED_MS,
+      (each) => each.fromMs <= endedAt && each.untilMs >= sentAt - DISTURBANCE_MARGIN_MS,
     );
     if (isDisturbed) return;
     this.countCheck(Check.CleanStop);
