--- a/bench/sidecar-fleet.ts
+++ b/bench/sidecar-fleet.ts
@@ -12,7 +12,7 @@
 const TARGET_SLOTS = 64;
 const RETRY_MS = 50;
 
-/** Host of the one declared route. */
+/** Host of the only declared route. */
 export const BENCH_HOST = 'bench.example';
 /** Service of the sidecars that callers use, and service of those that have a target. */
 const SERVICES = ['caller', 'callee'] as const;
--- a/lab/fleet/child-process.ts
+++ b/lab/fleet/child-process.ts
@@ -70,7 +70,6 @@
     return new FleetChild(name, child, announcement);
   }
 
-  /** Process id. */
   get pid(): number {
     return this.child.pid ?? -1;
   }
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -69,7 +69,6 @@
     return fleet;
   }
 
-  /** Origins of the edges. */
   edgeOrigins(): string[] {
     return this.edges.map((edge) => edge.origin('listen'));
   }
--- a/lab/soak/soak-clients.ts
+++ b/lab/soak/soak-clients.ts
@@ -24,7 +24,6 @@
   readonly hasUniqueRequests: boolean;
 }
 
-/** The clients of one machine. */
 export class SoakClients {
   private readonly agent = new Agent({ keepAliveTimeout: 10_000 });
   private sent = 0;
