--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,22 +1,19 @@
-/**
- * Sends requests to one origin and measures how long each takes. Owns the connections, which stay open between
- * stretches of load.
- */
+/** Sends requests to one origin and measures their latencies. */
 import { Pool } from 'undici';
 
 const CONNECTIONS = 64;
 const BENCH_PATH = '/bench/item';
 
-/** What a stretch of load gave. */
+/** The results of one load run. */
 export interface LoadResult {
-  /** Milliseconds of each request, sorted. */
+  /** Latencies of successful requests, in milliseconds, ascending. */
   readonly latenciesMs: readonly number[];
   readonly failed: number;
   readonly durationMs: number;
 }
 
-/** A path under load. Connections stay open between stretches. */
-export class LoadSource {
+/** Generates load on one origin. Connections stay open between runs. */
+export class LoadGenerator {
   private readonly pool: Pool;
 
   /** @param headers sent with each request */
@@ -27,8 +24,8 @@
     this.pool = new Pool(origin, { connections: CONNECTIONS, pipelining: 1 });
   }
 
-  /** Sends at a steady rate, whatever comes back. */
-  async atRate(callsPerSecond: number, calls: number): Promise<LoadResult> {
+  /** Sends at a constant rate, regardless of responses (open loop). */
+  async runAtRate(callsPerSecond: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results = await Promise.all(
       Array.from({ length: calls }, async (_, index) => {
@@ -40,14 +37,14 @@
     return toResult(results, performance.now() - startedAt);
   }
 
-  /** Sends as fast as answers come back, a number of requests at a time. */
-  async atOnce(concurrency: number, calls: number): Promise<LoadResult> {
+  /** Keeps `concurrency` requests in flight until `calls` were sent (closed loop). */
+  async runConcurrently(concurrency: number, calls: number): Promise<LoadResult> {
     const startedAt = performance.now();
     const results: number[] = [];
-    let left = calls;
+    let remaining = calls;
     const worker = async (): Promise<void> => {
-      while (left > 0) {
-        left -= 1;
+      while (remaining > 0) {
+        remaining -= 1;
         results.push(await this.send());
       }
     };
@@ -59,7 +56,7 @@
     await this.pool.destroy();
   }
 
-  /** @returns milliseconds, or NaN for a failure */
+  /** Sends one request. @returns its latency in milliseconds, or NaN if it failed */
   private async send(): Promise<number> {
     const sentAt = performance.now();
     try {
@@ -87,7 +84,7 @@
   if (failed > 0) throw new Error(`${name}: ${failed} requests failed`);
 }
 
-/** The latency that a fraction of the requests stays under. */
+/** Returns a quantile of ascending latencies. @param fraction 0 to 1 */
 export function quantile(latenciesMs: readonly number[], fraction: number): number {
   return latenciesMs[Math.floor(fraction * (latenciesMs.length - 1))] ?? Number.NaN;
 }
--- a/bench/sidecar-cost.ts
+++ b/bench/sidecar-cost.ts
@@ -1,15 +1,15 @@
 /**
- * What sidecars cost, three figures apart: a start, an idle second, a call; each at several sizes of the
- * fleet, beside two bare proxies in the same run. Usage: npm run bench:sidecars [-- --sizes 2,8,24]
+ * Benchmarks the cost of sidecars: of a start, of an idle second and of a call, at several fleet sizes, compared with
+ * two bare proxies. Usage: npm run bench:sidecars [-- --sizes 2,8,24]
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { cac } from 'cac';
 import { median } from '../lab/experiment/summary.js';
-import { processorMsOf, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
-import { failOnErrors, LoadSource, quantile } from './load.js';
-import { processorMs, residentMegabytes } from './process-usage.js';
+import { totalCpuMs, REQUEST_HEADERS, startBenchTarget, withBareProxies } from './comparison.js';
+import { failOnErrors, LoadGenerator, quantile } from './load.js';
+import { cpuMs, residentMegabytes } from './process-usage.js';
 import { runCommand } from './run-command.js';
 import { SidecarFleet } from './sidecar-fleet.js';
 
@@ -17,22 +17,19 @@
 const WARMUP_CALLS = 3_000;
 const MEASURED_CALLS = 10_000;
 const CONCURRENCY = 16;
-/**
- * After a start the engine compiles what runs often: idle processes took 8 to 23 ms a second in the first
- * 5 s and 3 to 5 from 25 s on, two or sixteen of them alike.
- */
+/** Wait after a start, in milliseconds; JIT compilation raises the idle CPU time before that. */
 const SETTLE_MS = 25_000;
 const IDLE_MS = 10_000;
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** The figures of one fleet. */
-interface FleetFigures {
+/** The results for one fleet size. */
+interface FleetCosts {
   readonly size: number;
   readonly startMs: number;
-  readonly startProcessorMs: number;
-  /** Processor milliseconds a second of one idle sidecar. */
+  readonly startCpuMs: number;
+  /** CPU milliseconds per second of one idle sidecar. */
   readonly idleMsPerSecond: number;
-  readonly processorMsPerCall: number;
+  readonly cpuMsPerCall: number;
   readonly p50Ms: number;
   readonly megabytes: number;
 }
@@ -41,33 +38,33 @@
   return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
 
-async function measureFleet(workDir: string, target: string, size: number): Promise<FleetFigures> {
+async function measureFleet(workDir: string, target: string, size: number): Promise<FleetCosts> {
   const fleet = new SidecarFleet(workDir, new URL(target).host);
   try {
     await fleet.start(size);
     const pids = fleet.sidecars.map(({ process }) => process.pid);
-    const startProcessorMs = median(pids.map(processorMs));
+    const startCpuMs = median(pids.map(cpuMs));
     await sleep(SETTLE_MS);
-    const idleFrom = processorMsOf(pids);
+    const idleFrom = totalCpuMs(pids);
     await sleep(IDLE_MS);
-    const idleMsPerSecond = ((processorMsOf(pids) - idleFrom) * MILLISECONDS) / IDLE_MS / size;
+    const idleMsPerSecond = ((totalCpuMs(pids) - idleFrom) * MS_PER_SECOND) / IDLE_MS / size;
     const ingress = fleet.sidecars.find(({ service }) => service === 'caller')!.process;
-    const source = new LoadSource(ingress.origin('outbound'), REQUEST_HEADERS);
-    // A gate that has just started lets in no more than it has seen answered: the first calls come one by one.
-    await source.atOnce(1, FIRST_CALLS);
-    failOnErrors('warm-up', await source.atOnce(CONCURRENCY, WARMUP_CALLS));
-    const callsFrom = processorMsOf(pids);
-    const load = await source.atOnce(CONCURRENCY, MEASURED_CALLS);
+    const source = new LoadGenerator(ingress.origin('outbound'), REQUEST_HEADERS);
+    // The gate starts with a low limit that grows with completed calls, so the first calls are sequential.
+    await source.runConcurrently(1, FIRST_CALLS);
+    failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
+    const callsFrom = totalCpuMs(pids);
+    const load = await source.runConcurrently(CONCURRENCY, MEASURED_CALLS);
     failOnErrors('sidecars', load);
-    const idleMs = (idleMsPerSecond * size * load.durationMs) / MILLISECONDS;
-    const processorMsPerCall = (processorMsOf(pids) - callsFrom - idleMs) / MEASURED_CALLS;
+    const idleMs = (idleMsPerSecond * size * load.durationMs) / MS_PER_SECOND;
+    const cpuMsPerCall = (totalCpuMs(pids) - callsFrom - idleMs) / MEASURED_CALLS;
     await source.close();
     return {
       size,
       startMs: median(fleet.sidecars.map(({ startMs }) => startMs)),
-      startProcessorMs,
+      startCpuMs,
       idleMsPerSecond,
-      processorMsPerCall,
+      cpuMsPerCall,
       p50Ms: quantile(load.latenciesMs, 0.5),
       megabytes: median(pids.map(residentMegabytes)),
     };
@@ -76,24 +73,24 @@
   }
 }
 
-/** Processor milliseconds a call of the processes behind `origin`. */
+/** Measures CPU milliseconds per call of the proxies behind `origin`. */
 async function measureProxies(origin: string, pids: readonly number[]): Promise<number> {
-  const source = new LoadSource(origin, REQUEST_HEADERS);
-  failOnErrors('warm-up', await source.atOnce(CONCURRENCY, WARMUP_CALLS));
-  const from = processorMsOf(pids);
-  failOnErrors('bare proxies', await source.atOnce(CONCURRENCY, MEASURED_CALLS));
-  const perCall = (processorMsOf(pids) - from) / MEASURED_CALLS;
+  const source = new LoadGenerator(origin, REQUEST_HEADERS);
+  failOnErrors('warm-up', await source.runConcurrently(CONCURRENCY, WARMUP_CALLS));
+  const from = totalCpuMs(pids);
+  failOnErrors('bare proxies', await source.runConcurrently(CONCURRENCY, MEASURED_CALLS));
+  const perCall = (totalCpuMs(pids) - from) / MEASURED_CALLS;
   await source.close();
   return perCall;
 }
 
-function report(figures: FleetFigures, bareMsPerCall: number): void {
-  const ratio = (figures.processorMsPerCall / bareMsPerCall).toFixed(2);
+function report(figures: FleetCosts, bareMsPerCall: number): void {
+  const ratio = (figures.cpuMsPerCall / bareMsPerCall).toFixed(2);
   process.stdout.write(
     `${figures.size} sidecars: start ${figures.startMs.toFixed(0)} ms ` +
-      `(${figures.startProcessorMs.toFixed(0)} ms processor), ` +
+      `(${figures.startCpuMs.toFixed(0)} ms processor), ` +
       `idle ${figures.idleMsPerSecond.toFixed(1)} ms processor a second, ` +
-      `call ${figures.processorMsPerCall.toFixed(3)} ms processor (${ratio} of two bare proxies), ` +
+      `call ${figures.cpuMsPerCall.toFixed(3)} ms processor (${ratio} of two bare proxies), ` +
       `p50 ${figures.p50Ms.toFixed(2)} ms, ${figures.megabytes.toFixed(0)} MB\n`,
   );
 }
@@ -114,11 +111,13 @@
   }
 }
 
-/** The sizes in `2,8,24`. Throws where one is no whole number of at least 2. */
+/** Parses a list such as `2,8,24`. @throws when an item is not an integer of at least 2 */
 function parseSizes(text: string): number[] {
   const sizes = text.split(',').map(Number);
   if (sizes.some((size) => !Number.isInteger(size) || size < 2)) {
-    throw new Error(`--sizes takes whole numbers of at least 2, with commas between: ${text}`);
+    throw new Error(
+      `--sizes must be whole numbers of at least 2, separated by commas, but is ${text}`,
+    );
   }
   return sizes;
 }
--- a/lab/process/backend-process.ts
+++ b/lab/process/backend-process.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in back end as a process of its own: the model of the simulator behind an HTTP server, with paths by which
- * the lab makes it slow or cold. Owns its log of executions.
+ * A stub back end: an HTTP server in front of the back end model of the simulator. The lab controls it through paths
+ * below `/lab/`.
  */
 import { openSync, writeSync } from 'node:fs';
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
@@ -13,19 +13,18 @@
 import type { NestedCallModel, ServiceModel } from '../model/deployment.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** Names the logical request in every attempt and nested call. */
+/** Carries the id of the logical request in every attempt and nested call. */
 export const LAB_ID_HEADER = 'lab-id';
 const DEADLINE_HEADER = 'shoredoor-deadline-ms';
 const DEFAULT_DEADLINE_MS = 60_000;
 
-/** Commands that the lab sends to a back end, as paths. */
+/** Paths of the commands that the lab sends to a back end. */
 export const BACKEND_COMMANDS = {
   slow: '/lab/slow',
   cold: '/lab/cold',
   outbound: '/lab/outbound',
 } as const;
 
-/** A running back end. */
 export interface BackendProcess {
   readonly origin: string;
   close(): void;
@@ -33,7 +32,7 @@
 
 /**
  * Starts a back end on a free port of the loopback interface.
- * @param recordFile receives a line for each execution, which a kill of the process leaves there
+ * @param recordFile receives a line per execution, written synchronously, so that it survives a kill of the process
  */
 export async function startBackend(
   service: ServiceModel,
@@ -43,7 +42,7 @@
   const recordDescriptor = recordFile === undefined ? undefined : openSync(recordFile, 'a');
   const clock = new SystemClock();
   const agent = new Agent({ connections: 64, headersTimeout: 0, bodyTimeout: 0 });
-  const traceOf = new Map<string, string>();
+  const traceparentOf = new Map<string, string>();
   let outboundOrigin = '';
 
   const callOut = (
@@ -53,7 +52,7 @@
   ): Cancellable => {
     const abort = new AbortController();
     const root = labId.slice(0, labId.lastIndexOf('/'));
-    const trace = service.passesContext ? traceOf.get(root) : undefined;
+    const trace = service.passesContext ? traceparentOf.get(root) : undefined;
     request(outboundOrigin + call.path, {
       method: call.method,
       dispatcher: agent,
@@ -83,7 +82,7 @@
     const labId = String(message.headers[LAB_ID_HEADER] ?? 'unnamed');
     const remainingMs = Number(message.headers[DEADLINE_HEADER] ?? DEFAULT_DEADLINE_MS);
     const { traceparent } = message.headers;
-    if (typeof traceparent === 'string') traceOf.set(labId, traceparent);
+    if (typeof traceparent === 'string') traceparentOf.set(labId, traceparent);
     message.resume();
     const call = model.accept(
       {
@@ -99,12 +98,15 @@
       },
     );
     response.once('close', () => {
-      traceOf.delete(labId);
+      traceparentOf.delete(labId);
       if (!response.writableFinished) call?.cancel();
     });
   };
 
-  const obey = async (message: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleCommand = async (
+    message: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
     const chunks: Buffer[] = [];
     for await (const chunk of message) chunks.push(chunk as Buffer);
     const text = Buffer.concat(chunks).toString('utf8');
@@ -118,7 +120,7 @@
   };
 
   const server = createServer((message, response) => {
-    if (message.url?.startsWith('/lab/') === true) void obey(message, response);
+    if (message.url?.startsWith('/lab/') === true) void handleCommand(message, response);
     else serve(message, response);
   });
   server.keepAliveTimeout = 30_000;
--- a/lab/process/http-attempt-sender.ts
+++ b/lab/process/http-attempt-sender.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of the lab's callers to edges over HTTP. Owns the connections. */
+/** Sends the attempts of the lab's callers to edges over HTTP. */
 import { Agent, request } from 'undici';
 import { VERDICT_HEADER } from '../../src/call/call-context.js';
 import { checkAnswer } from '../model/answer-body.js';
@@ -11,25 +11,25 @@
 import { LAB_ID_HEADER } from './backend-process.js';
 
 const MAX_CONNECTIONS = 1_024;
-const BROKEN: AttemptAnswer = {
+const NO_ANSWER: AttemptAnswer = {
   status: 0,
   verdict: undefined,
   retryAfterSeconds: 0,
   check: undefined,
 };
 
-/** A sender that spreads attempts over edges in turn. */
+/** Creates a sender that distributes attempts over the edges in round-robin order. */
 export function createHttpSender(edgeOrigins: readonly string[]): AttemptSender {
   const agent = new Agent({ connections: MAX_CONNECTIONS, headersTimeout: 0, bodyTimeout: 0 });
-  let turn = 0;
+  let nextEdge = 0;
   return (attempt, done) => {
-    const origin = edgeOrigins[turn % edgeOrigins.length]!;
-    turn += 1;
+    const origin = edgeOrigins[nextEdge % edgeOrigins.length]!;
+    nextEdge += 1;
     const abort = new AbortController();
     let cancelled = false;
     const timer = setTimeout(() => abort.abort(), attempt.timeoutMs);
     sendAttempt(origin, attempt, agent, abort.signal)
-      .catch(() => BROKEN)
+      .catch(() => NO_ANSWER)
       .then((answer) => {
         clearTimeout(timer);
         if (!cancelled) done(answer);
--- a/lab/soak/deadly-client.ts
+++ b/lab/soak/deadly-client.ts
@@ -1,4 +1,4 @@
-/** Sends a request that crashes its targets, the same one each time, by any machine. */
+/** Repeatedly sends the same deadly request, one that crashes each target that runs it, through random machines. */
 import { request } from 'undici';
 import type { RandomSource } from '../../src/common/random.js';
 import { DEFAULT_TARGET_HEADERS } from '../../src/http/target-headers.js';
@@ -6,13 +6,12 @@
 import { READ_PATH, SOAK_HOST } from './soak-operator.js';
 import { FaultKind, type PlannedFault } from './soak-plan.js';
 
-/** Begins the last part of the path of a request that crashes what runs it. */
-export const DEADLY_MARK = 'deadly-';
-/** Begins that of a request whose run makes such calls. */
-export const CALLS_DEADLY_MARK = 'calls-';
+/** Prefix of the last path segment of a request that crashes the target that runs it. */
+export const DEADLY_PREFIX = 'deadly-';
+/** Prefix of the last path segment of a request whose target makes a deadly call to the next service. */
+export const CALLS_DEADLY_PREFIX = 'calls-';
 
-/** What the sender works with. */
-export interface DeadlyWorld {
+export interface DeadlyClientContext {
   readonly random: RandomSource;
   readonly machines: readonly SoakMachine[];
   readonly deadlineMs: number;
@@ -22,11 +21,11 @@
 export class DeadlyClient {
   private sent = 0;
 
-  constructor(private readonly world: DeadlyWorld) {}
+  constructor(private readonly context: DeadlyClientContext) {}
 
-  /** Sends the request of a fault until its time is over. */
+  /** Sends the request until the duration of the fault has elapsed. */
   async run(fault: PlannedFault): Promise<void> {
-    const { now, random, machines } = this.world;
+    const { now, random, machines } = this.context;
     const untilMs = now() + fault.forMs;
     while (now() < untilMs) {
       void this.send(machines[random.below(machines.length)]!, fault);
@@ -35,20 +34,20 @@
   }
 
   private async send({ outbound }: SoakMachine, { kind, victim }: PlannedFault): Promise<void> {
-    const last = DEADLY_MARK + victim;
-    const path = kind === FaultKind.DeadlyCall ? CALLS_DEADLY_MARK + last : last;
+    const last = DEADLY_PREFIX + victim;
+    const path = kind === FaultKind.DeadlyCall ? CALLS_DEADLY_PREFIX + last : last;
     try {
       const response = await request(outbound + READ_PATH + path, {
         headers: {
           host: SOAK_HOST,
           [DEFAULT_TARGET_HEADERS.requestId]: `${last}-${(this.sent += 1)}`,
-          [DEFAULT_TARGET_HEADERS.deadlineMs]: String(this.world.deadlineMs),
+          [DEFAULT_TARGET_HEADERS.deadlineMs]: String(this.context.deadlineMs),
         },
-        signal: AbortSignal.timeout(this.world.deadlineMs),
+        signal: AbortSignal.timeout(this.context.deadlineMs),
       });
       await response.body.dump();
     } catch {
-      // Its sidecar is down, or the target took the answer with it: nothing else is expected.
+      // Expected: the sidecar is down, or the target crashed before it responded.
     }
   }
 }
--- a/lab/soak/stop-plan.ts
+++ b/lab/soak/stop-plan.ts
@@ -1,12 +1,12 @@
 /**
- * Runs in which planned stops of sidecars are the only fault, in series and overlapping, while targets make many calls
- * one after the other. Drawn from a seed. Pure.
+ * Plans of soak runs whose only faults are planned stops and reloads of sidecars, partly overlapping, while targets
+ * make many sequential calls. Drawn from a seed.
  */
 import type { RandomSource } from '../../src/common/random.js';
 import {
   drawTimes,
   FaultKind,
-  randomOfPlan,
+  createPlanRandom,
   REPLICAS,
   type PlannedFault,
   type SoakPlan,
@@ -15,13 +15,13 @@
 const FRONT_MACHINES = 3;
 const SLOTS = 64;
 const FIRST_STOP_MS = 1_000;
-const LEAST_RESTART_MS = 200;
+const MIN_RESTART_MS = 200;
 const EXTRA_RESTART_MS = 800;
 const RELOAD_PART = 0.15;
-const CALM_MS = 10_000;
+const FAULT_FREE_END_MS = 10_000;
 const DEADLINE_MS = 6_000;
 
-/** How requests go: many short runs, or few that last for seconds. */
+/** The load: many short requests, or few that take seconds. */
 interface Load {
   readonly perSecond: number;
   readonly callsPerRun: number;
@@ -29,9 +29,9 @@
   readonly stopGapMs: number;
 }
 
-/** Draws a run. @param durationMs length of the traffic in milliseconds, longer than the calm at its end */
+/** Draws a plan. @param durationMs duration of the traffic in milliseconds, longer than the fault-free period */
 export function drawStopPlan(seed: number, durationMs: number): SoakPlan {
-  const random = randomOfPlan(seed);
+  const random = createPlanRandom(seed);
   const load = random.next() < 0.5 ? longRuns(random) : shortRuns(random);
   const { perSecond, callsPerRun, callMs, stopGapMs } = load;
   const backMachines = 2 + random.below(2);
@@ -47,13 +47,18 @@
     timeoutMs: DEADLINE_MS,
     nestedDeadlineMs: DEADLINE_MS,
     durationMs,
-    calmMs: CALM_MS,
-    faults: drawStops(random, durationMs - CALM_MS, stopGapMs, FRONT_MACHINES + backMachines),
+    calmMs: FAULT_FREE_END_MS,
+    faults: drawStops(
+      random,
+      durationMs - FAULT_FREE_END_MS,
+      stopGapMs,
+      FRONT_MACHINES + backMachines,
+    ),
     changesAtMs: [],
   };
 }
 
-/** Of 3 to 5 s, as many as two front machines can work on. */
+/** Requests of 3 to 5 s, at a rate that two of the front machines can sustain. */
 function longRuns(random: RandomSource): Load {
   const callsPerRun = 9 + random.below(6);
   const runMs = 3_000 + random.below(2_000);
@@ -86,6 +91,6 @@
     forMs: 0,
     victim: random.below(machines),
     part: 0,
-    restartAfterMs: LEAST_RESTART_MS + random.below(EXTRA_RESTART_MS),
+    restartAfterMs: MIN_RESTART_MS + random.below(EXTRA_RESTART_MS),
   }));
 }
