--- a/lab/simulator/quota/quota-checker.ts
+++ b/lab/simulator/quota/quota-checker.ts
@@ -23,8 +23,8 @@
 
 export class QuotaChecker {
   private readonly runTimes: number[] = [];
-  private oldest = 0;
-  private worstPart = 0;
+  private firstInWindow = 0;
+  private worstBoundRatio = 0;
   private offered = 0;
   private wronglyRefused = 0;
   private readonly rates: DeclaredRate[];
@@ -49,31 +49,35 @@
 
   onRun(now: number): void {
     this.runTimes.push(now);
-    this.worstPart = Math.max(this.worstPart, this.inWindow(now) / this.boundAt(now));
+    this.worstBoundRatio = Math.max(
+      this.worstBoundRatio,
+      this.runsInWindow(now) / this.boundAt(now),
+    );
   }
 
   onRefused(now: number): void {
     const { rate } = this.rates.at(-1)!;
     const declared = boundInWindow(rate, { ...this.rule, tolerance: 0, slack: 0 });
-    if (this.inWindow(now) + 1 <= declared) this.wronglyRefused += 1;
+    if (this.runsInWindow(now) + 1 <= declared) this.wronglyRefused += 1;
   }
 
   findings(): QuotaFindings {
-    const { worstPart, wronglyRefused, offered } = this;
+    const { worstBoundRatio: worstPart, wronglyRefused, offered } = this;
     return { worstPart, wronglyRefused, offered, runs: this.runTimes.length };
   }
 
-  private inWindow(now: number): number {
-    while ((this.runTimes[this.oldest] ?? Infinity) <= now - this.rule.windowMs) this.oldest += 1;
-    return this.runTimes.length - this.oldest;
+  private runsInWindow(now: number): number {
+    while ((this.runTimes[this.firstInWindow] ?? Infinity) <= now - this.rule.windowMs)
+      this.firstInWindow += 1;
+    return this.runTimes.length - this.firstInWindow;
   }
 
   /** The largest bound of the rates that may still count. */
   private boundAt(now: number): number {
-    const since = now - this.rule.windowMs - this.graceMs;
-    const counting = this.rates.filter(
-      (_, index) => (this.rates[index + 1]?.at ?? Infinity) > since,
+    const cutoff = now - this.rule.windowMs - this.graceMs;
+    const applicable = this.rates.filter(
+      (_, index) => (this.rates[index + 1]?.at ?? Infinity) > cutoff,
     );
-    return Math.max(...counting.map(({ rate }) => boundInWindow(rate, this.rule)));
+    return Math.max(...applicable.map(({ rate }) => boundInWindow(rate, this.rule)));
   }
 }
--- a/lab/simulator/quota/quota-ways.ts
+++ b/lab/simulator/quota/quota-ways.ts
@@ -11,7 +11,7 @@
 import { SlidingCount } from '../../../src/common/sliding-count.js';
 
 /** Names of the ways. */
-export type QuotaWayName = 'leases' | 'equal-parts' | 'proportional';
+export type QuotaStrategyName = 'leases' | 'equal-parts' | 'proportional';
 
 /** What an ingress does. */
 export interface IngressSide {
@@ -37,7 +37,7 @@
 }
 
 /** Builds both sides of a way. */
-export interface QuotaWay {
+export interface QuotaStrategy {
   ingress(options: IngressSideOptions): IngressSide;
   control(options: QuotaLedgerOptions, startedAt: number): ControlSide;
 }
@@ -55,7 +55,7 @@
     const now = this.options.clock.now();
     this.countOf(this.offered, name).add(now);
     const used = this.countOf(this.used, name);
-    if (used.total(now) + 1 > this.limitHere(name, now)) {
+    if (used.total(now) + 1 > this.localLimit(name, now)) {
       listener(undefined);
       return;
     }
@@ -78,7 +78,7 @@
 
   abstract onGrants(grants: QuotaGrants, askedAt: number): void;
 
-  protected abstract limitHere(group: string, now: number): number;
+  protected abstract localLimit(group: string, now: number): number;
 
   private countOf(counts: Map<string, SlidingCount>, group: string): SlidingCount {
     const count = counts.get(group) ?? new SlidingCount(this.options.windowMs);
@@ -88,25 +88,25 @@
 }
 
 /** The limit divided by the number of ingresses. */
-class EqualParts extends CountingIngress {
+class EqualShareIngress extends CountingIngress {
   onGrants(): void {
     // Nothing is granted.
   }
 
-  protected limitHere(group: string): number {
+  protected localLimit(group: string): number {
     return (this.options.limitOf(group) ?? Infinity) / this.options.ingresses;
   }
 }
 
 /** The limit divided by what all ingresses together were offered at the last heartbeat; no commitments. */
-class Proportional extends CountingIngress {
+class ProportionalIngress extends CountingIngress {
   private readonly totals = new Map<string, number>();
 
   onGrants({ grants }: QuotaGrants): void {
     for (const { group, allowance } of grants) this.totals.set(group, allowance);
   }
 
-  protected limitHere(group: string, now: number): number {
+  protected localLimit(group: string, now: number): number {
     const own = this.offered.get(group)?.total(now) ?? 0;
     const total = Math.max(this.totals.get(group) ?? 0, own);
     return ((this.options.limitOf(group) ?? Infinity) * own) / total;
@@ -114,7 +114,7 @@
 }
 
 /** Tells each ingress what all of them together were offered. */
-class OfferedTotals implements ControlSide {
+class OfferedTotalsControl implements ControlSide {
   private readonly reports = new Map<string, QuotaReport>();
 
   onReport(id: string, report: QuotaReport): QuotaGrants {
@@ -132,17 +132,17 @@
   }
 }
 
-export const QUOTA_WAYS: Readonly<Record<QuotaWayName, QuotaWay>> = {
+export const QUOTA_STRATEGIES: Readonly<Record<QuotaStrategyName, QuotaStrategy>> = {
   leases: {
     ingress: (options) => new IngressQuota(options),
     control: (options, startedAt) => new QuotaLedger(options, startedAt),
   },
   'equal-parts': {
-    ingress: (options) => new EqualParts(options),
-    control: () => new OfferedTotals(),
+    ingress: (options) => new EqualShareIngress(options),
+    control: () => new OfferedTotalsControl(),
   },
   proportional: {
-    ingress: (options) => new Proportional(options),
-    control: () => new OfferedTotals(),
+    ingress: (options) => new ProportionalIngress(options),
+    control: () => new OfferedTotalsControl(),
   },
 };
--- a/lab/simulator/sidecars/arrival-ledger.ts
+++ b/lab/simulator/sidecars/arrival-ledger.ts
@@ -37,12 +37,12 @@
 
   /** A request for `service` was sent that no repeated run has made, whether or not it arrives. */
   onRequest(service: string, now: number): void {
-    add(this.arrivals(service).requests, now);
+    increment(this.arrivals(service).requests, now);
   }
 
   /** A request arrived at a target again, or was made by a run that was itself a repeat. */
   onRepeat(service: string, now: number): void {
-    add(this.arrivals(service).repeats, now);
+    increment(this.arrivals(service).repeats, now);
   }
 
   /** The worst window of all services. */
@@ -66,7 +66,7 @@
   return repeats - allowed;
 }
 
-function add(counts: number[], now: number): void {
+function increment(counts: number[], now: number): void {
   const step = Math.floor(now / STEP_MS);
   while (counts.length <= step) counts.push(0);
   counts[step]! += 1;
--- a/lab/simulator/sidecars/call-graph.ts
+++ b/lab/simulator/sidecars/call-graph.ts
@@ -26,7 +26,7 @@
   readonly workMs: number;
   readonly nested: readonly SimNestedCalls[];
   /** Whether those calls are made all at once in place of one after the other. Default false. */
-  readonly nestedTogether?: boolean;
+  readonly nestedInParallel?: boolean;
   /** Requests of clients a second; 0 for routes that only targets call. */
   readonly perSecond: number;
   /** Milliseconds that a client or calling target waits. */
@@ -43,7 +43,7 @@
 }
 
 /** What a route is made of here; the rest takes the values that all share. */
-export interface RouteSketch extends Omit<SimRoute, 'route' | 'clientRetries'> {
+export interface RouteOptions extends Omit<SimRoute, 'route' | 'clientRetries'> {
   readonly name: string;
   readonly rank: number;
   readonly repeatable: boolean;
@@ -51,12 +51,12 @@
   readonly timeoutMs: number;
 }
 
-const HIGHEST_RANKED = 3;
+const MAX_IMPORTANCE = 3;
 const MAX_TARGETS = 2;
 
 /** Completes a route. */
-export function simRoute(sketch: RouteSketch): SimRoute {
-  const { name, rank, repeatable, objectiveMs, timeoutMs, ...rest } = sketch;
+export function simRoute(options: RouteOptions): SimRoute {
+  const { name, rank, repeatable, objectiveMs, timeoutMs, ...rest } = options;
   return {
     ...rest,
     clientRetries: 1,
@@ -67,10 +67,10 @@
       timeoutMs,
       objectiveMs,
       rank,
-      importance: Math.max(0, HIGHEST_RANKED - rank) as Importance,
+      importance: Math.max(0, MAX_IMPORTANCE - rank) as Importance,
       maxTargets: MAX_TARGETS,
       anonymous: false,
-      backends: [{ service: sketch.service, weight: 1 }],
+      backends: [{ service: options.service, weight: 1 }],
     },
   };
 }
--- a/lab/simulator/sidecars/chain-graph.ts
+++ b/lab/simulator/sidecars/chain-graph.ts
@@ -2,7 +2,7 @@
 import { simRoute, type CallGraph } from './call-graph.js';
 
 /** A chain of services. */
-export interface ChainSketch {
+export interface ChainOptions {
   /** Number of services, at least 1. */
   readonly depth: number;
   /** Calls that a target makes to the next service, one after the other. Default 1. */
@@ -31,7 +31,7 @@
   fanOut = 1,
   perSecond,
   workMs = DEFAULT_WORK_MS,
-}: ChainSketch): CallGraph {
+}: ChainOptions): CallGraph {
   const levels = Array.from({ length: depth }, (_, level) => level);
   return {
     services: levels.map((level) => ({
--- a/lab/simulator/sidecars/fan-in-graph.ts
+++ b/lab/simulator/sidecars/fan-in-graph.ts
@@ -38,7 +38,7 @@
       workMs: 120,
       perSecond: 82.5,
       nested: [{ route: 'proof-details', times: 2 }],
-      nestedTogether: true,
+      nestedInParallel: true,
     }),
     simRoute({
       name: 'proof-download',
--- a/lab/simulator/sidecars/request-lineage.ts
+++ b/lab/simulator/sidecars/request-lineage.ts
@@ -2,12 +2,12 @@
 export class RequestLineage {
   private arrivals = 0;
 
-  /** @param isInherited whether the run that made the request was itself a repeat */
-  constructor(readonly isInherited: boolean) {}
+  /** @param isFromRepeatedRun whether the run that made the request was itself a repeat */
+  constructor(readonly isFromRepeatedRun: boolean) {}
 
   /** The request arrives at a target. @returns whether that counts as a repeat */
-  arrive(): boolean {
+  recordArrival(): boolean {
     this.arrivals += 1;
-    return this.isInherited || this.arrivals > 1;
+    return this.isFromRepeatedRun || this.arrivals > 1;
   }
 }
--- a/lab/simulator/sidecars/sidecar-world.ts
+++ b/lab/simulator/sidecars/sidecar-world.ts
@@ -7,7 +7,7 @@
 import { ArrivalLedger } from './arrival-ledger.js';
 import type { CallGraph, SimRoute } from './call-graph.js';
 import { RequestLineage } from './request-lineage.js';
-import { SimSidecar, type SidecarNeighbours, type SimAnswer } from './sim-sidecar.js';
+import { SimSidecar, type SidecarEnvironment, type SimAnswer } from './sim-sidecar.js';
 import { NO_TARGET_FAULTS, type TargetFaults } from './sim-target-transport.js';
 
 /** A span of a run with its demand. */
@@ -30,26 +30,26 @@
   failed: number;
 }
 
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 const STATUS_OK = 200;
 const STATUS_NOT_RUN = 503;
 /** A client heeds `Retry-After` for no more than this part of the time it has left. */
-const HEEDED_PART = 1 / 3;
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
 /** Zones of a graph that gives none. */
 const DEFAULT_ZONES = 3;
 /** Time at the end of a run in which requests under way finish. */
 const SETTLE_MS = 10_000;
 
-export class SidecarWorld implements SidecarNeighbours {
+export class SidecarWorld implements SidecarEnvironment {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   private readonly sidecars = new Map<string, SimSidecar>();
-  private readonly all: SimSidecar[] = [];
+  private readonly allSidecars: SimSidecar[] = [];
   private readonly routes: Map<string, SimRoute>;
   private results = new Map<string, RouteResult>();
-  private factor = 1;
+  private demandFactor = 1;
   private faults: Readonly<Record<string, TargetFaults>> = {};
-  private isOpen = true;
+  private isSendingRequests = true;
   /** Attempts sent so far, and those of them that went to another zone. */
   readonly attempts = { sent: 0, crossing: 0 };
   /** What arrives at targets, seen from outside. */
@@ -61,12 +61,12 @@
     for (const service of graph.services) {
       for (let index = 0; index < service.targets; index += 1) {
         const factor = service.workFactors[index % service.workFactors.length]!;
-        const place = { index, zone: zoneOf(index, service.targets, graph.zones) };
-        this.add(new SimSidecar(this, service, place, factor));
+        const location = { index, zone: zoneOf(index, service.targets, graph.zones) };
+        this.add(new SimSidecar(this, service, location, factor));
       }
     }
-    const records = this.all.map((sidecar) => sidecar.record);
-    for (const sidecar of this.all) sidecar.update(records);
+    const records = this.allSidecars.map((sidecar) => sidecar.record);
+    for (const sidecar of this.allSidecars) sidecar.update(records);
   }
 
   route(name: string): SimRoute {
@@ -79,7 +79,7 @@
 
   /** Calls that all targets work on now. */
   get running(): number {
-    return this.all.reduce((total, sidecar) => total + sidecar.running, 0);
+    return this.allSidecars.reduce((total, sidecar) => total + sidecar.running, 0);
   }
 
   onAttempt(crossesZones: boolean): void {
@@ -94,8 +94,8 @@
   /** Starts a sidecar again in each interval, drawn by lot, as long as the run takes. */
   restartEvery(intervalMs: number): void {
     this.clock.schedule(intervalMs, () => {
-      if (!this.isOpen) return;
-      this.all[this.random.below(this.all.length)]!.restart();
+      if (!this.isSendingRequests) return;
+      this.allSidecars[this.random.below(this.allSidecars.length)]!.restart();
       this.restartEvery(intervalMs);
     });
   }
@@ -106,32 +106,32 @@
       if (each.perSecond > 0) this.scheduleNext(each);
     }
     const results = phases.map((phase) => {
-      this.factor = phase.factor;
+      this.demandFactor = phase.factor;
       this.faults = phase.faults ?? {};
       this.results = new Map();
       this.clock.advance(phase.durationMs);
       return this.results;
     });
-    this.isOpen = false;
+    this.isSendingRequests = false;
     this.clock.advance(SETTLE_MS);
     return results;
   }
 
   private add(sidecar: SimSidecar): void {
     this.sidecars.set(sidecar.record.id, sidecar);
-    this.all.push(sidecar);
+    this.allSidecars.push(sidecar);
   }
 
   private scheduleNext(route: SimRoute): void {
-    const meanMs = MILLISECONDS / (route.perSecond * this.factor);
+    const meanMs = MS_PER_SECOND / (route.perSecond * this.demandFactor);
     this.clock.schedule(exponential(this.random, meanMs), () => {
-      if (!this.isOpen) return;
+      if (!this.isSendingRequests) return;
       this.scheduleNext(route);
-      this.begin(route);
+      this.sendRequest(route);
     });
   }
 
-  private begin(route: SimRoute): void {
+  private sendRequest(route: SimRoute): void {
     const result = this.resultOf(route.route.name);
     result.sent += 1;
     this.attempt(route, result, this.clock.now(), route.clientRetries);
@@ -139,7 +139,7 @@
 
   private attempt(route: SimRoute, result: RouteResult, startedAt: number, retries: number): void {
     const leftMs = startedAt + route.deadlineMs - this.clock.now();
-    const ingress = this.all[this.random.below(this.all.length)]!;
+    const ingress = this.allSidecars[this.random.below(this.allSidecars.length)]!;
     ingress.ingress(route, leftMs, new RequestLineage(false), (answer) =>
       this.onAnswer(route, result, startedAt, retries, answer),
     );
@@ -161,7 +161,7 @@
     const leftMs = route.deadlineMs - tookMs;
     const mayRepeat = route.route.repeatable || status === STATUS_NOT_RUN;
     if (retries > 0 && mayRepeat && leftMs > 0) {
-      const waitMs = Math.min(retryAfterSeconds * MILLISECONDS, leftMs * HEEDED_PART);
+      const waitMs = Math.min(retryAfterSeconds * MS_PER_SECOND, leftMs * MAX_RETRY_AFTER_FRACTION);
       this.clock.schedule(waitMs, () => this.attempt(route, result, startedAt, retries - 1));
       return;
     }
--- a/lab/simulator/sidecars/sim-gate-services.ts
+++ b/lab/simulator/sidecars/sim-gate-services.ts
@@ -15,7 +15,7 @@
 import type { ServiceRetryBudget } from '../../../src/retry/service-retry-budget.js';
 
 /** What a gate shares with the other parts of its machine. */
-export interface SimGateParts {
+export interface SimGateOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly limiter: SlotLimiter;
@@ -25,8 +25,8 @@
   readonly repeatedRuns: RepeatedRuns;
 }
 
-export function simGateServices(parts: SimGateParts): GateServices {
-  const { clock, random, limiter, downstream, retryBudget, repeatedRuns } = parts;
+export function simGateServices(options: SimGateOptions): GateServices {
+  const { clock, random, limiter, downstream, retryBudget, repeatedRuns } = options;
   return {
     clock,
     admission: new AdmissionController({
--- a/lab/simulator/sidecars/sim-peer-transport.ts
+++ b/lab/simulator/sidecars/sim-peer-transport.ts
@@ -9,7 +9,7 @@
 import type { CallFrameContext } from '../../../src/link/link-frames.js';
 import type { EndpointRecord } from '../../../src/call/endpoint.js';
 import type { RequestLineage } from './request-lineage.js';
-import type { SidecarNeighbours } from './sim-sidecar.js';
+import type { SidecarEnvironment } from './sim-sidecar.js';
 import type { Cancellable } from '../../model/cancellable.js';
 
 /** One way between two machines, in milliseconds. */
@@ -20,7 +20,7 @@
   status = 0;
 
   constructor(
-    private readonly world: SidecarNeighbours,
+    private readonly world: SidecarEnvironment,
     private readonly caller: EndpointRecord,
     private readonly frame: (envelope: AttemptEnvelope) => CallFrameContext,
     private readonly lineage: RequestLineage,
--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -40,7 +40,7 @@
 import type { Cancellable } from '../../model/cancellable.js';
 
 /** What the machines of a run share. */
-export interface SidecarNeighbours {
+export interface SidecarEnvironment {
   readonly clock: VirtualClock;
   readonly random: RandomSource;
   route(name: string): SimRoute;
@@ -53,7 +53,7 @@
 }
 
 /** Where a machine stands. */
-export interface SimPlace {
+export interface SimLocation {
   /** Its number among the machines of its service. */
   readonly index: number;
   readonly zone: string;
@@ -67,7 +67,7 @@
 }
 
 /** Hears what a gate answers; `status` is 0 where it refused. */
-type GateAnswer = (status: number, outcome: Outcome) => void;
+type GateAnswerListener = (status: number, outcome: Outcome) => void;
 
 export class SimSidecar {
   readonly record: EndpointRecord;
@@ -82,18 +82,18 @@
   private readonly router: OutboundRouter;
   private readonly nestedRoutes = new NestedRoutes();
   private readonly clientWaits = new ClientWaits();
-  private started: SimTargetWork[] = [];
+  private activeWork: SimTargetWork[] = [];
 
   constructor(
-    private readonly world: SidecarNeighbours,
+    private readonly world: SidecarEnvironment,
     readonly service: SimService,
-    place: SimPlace,
+    location: SimLocation,
     private readonly workFactor: number,
   ) {
     const { clock, random } = world;
-    const { zone } = place;
-    this.index = place.index;
-    const id = `${service.name}-${place.index}`;
+    const { zone } = location;
+    this.index = location.index;
+    const id = `${service.name}-${location.index}`;
     this.record = {
       id,
       incarnation: 1,
@@ -139,8 +139,8 @@
 
   /** Calls that the target works on now. */
   get running(): number {
-    this.started = this.started.filter((work) => work.isRunning);
-    return this.started.length;
+    this.activeWork = this.activeWork.filter((work) => work.isRunning);
+    return this.activeWork.length;
   }
 
   /** The process is started again: it has forgotten what arrived at its target. */
@@ -161,7 +161,7 @@
     done: (answer: SimAnswer) => void,
   ): Cancellable {
     const { clock, arrivals } = this.world;
-    if (!lineage.isInherited) arrivals.onRequest(simRoute.service, clock.now());
+    if (!lineage.isFromRepeatedRun) arrivals.onRequest(simRoute.service, clock.now());
     const { route } = simRoute;
     const arrivedAt = clock.now();
     const arrival = {
@@ -181,7 +181,7 @@
       ingressRequest(route, context, this.nestedRoutes.has(route.name)),
       transport,
       (result) => {
-        this.learn(route.name, result);
+        this.recordResult(route.name, result);
         done(this.answerOf(route, result, transport.status));
       },
     );
@@ -192,7 +192,7 @@
     frame: CallFrameContext,
     caller: string,
     lineage: RequestLineage,
-    answer: GateAnswer,
+    answer: GateAnswerListener,
   ): Cancellable {
     const { clock } = this.world;
     this.origins.onCall(frame.kind, caller);
@@ -221,7 +221,7 @@
     return call;
   }
 
-  private learn(route: string, result: OutboundResult): void {
+  private recordResult(route: string, result: OutboundResult): void {
     const { nestedRoutes, downstream, retryBudget } = this;
     learnFromResult({ nestedRoutes, downstream, retryBudget }, route, result);
   }
@@ -264,7 +264,7 @@
             ),
           done,
         );
-        this.started.push(work);
+        this.activeWork.push(work);
         return work;
       },
       () => this.countArrival(lineage),
@@ -278,7 +278,7 @@
 
   /** @returns whether the arrival is a repeat */
   private countArrival(lineage: RequestLineage): boolean {
-    const isRepeat = lineage.arrive();
+    const isRepeat = lineage.recordArrival();
     if (isRepeat) this.world.arrivals.onRepeat(this.service.name, this.world.clock.now());
     return isRepeat;
   }
--- a/lab/simulator/sidecars/sim-target-transport.ts
+++ b/lab/simulator/sidecars/sim-target-transport.ts
@@ -33,19 +33,19 @@
   onRelayed: (status: number) => void = () => undefined;
 
   /**
-   * @param begin the call arrives and the target works on it; `done` hears its status
+   * @param startWork the call arrives and the target works on it; `done` hears its status
    * @param onRejected the call arrives and is turned away
    */
   constructor(
     private readonly options: SimTargetOptions,
-    private readonly begin: (done: (status: number) => void) => Cancellable,
+    private readonly startWork: (done: (status: number) => void) => Cancellable,
     private readonly onRejected: () => void,
   ) {}
 
   send(listener: AttemptListener): Attempt {
-    if (this.isHit(this.options.faults().rejectedPart)) return this.reject(listener);
-    const work = this.begin((status) => {
-      if (this.isHit(this.options.faults().lostPart)) {
+    if (this.drawFault(this.options.faults().rejectedPart)) return this.reject(listener);
+    const work = this.startWork((status) => {
+      if (this.drawFault(this.options.faults().lostPart)) {
         listener.onFailure({ reason: 'reset', written: true });
         return;
       }
@@ -57,7 +57,7 @@
   }
 
   /** Draws nothing where nothing is wrong, so that runs without faults don't depend on them. */
-  private isHit(part: number): boolean {
+  private drawFault(part: number): boolean {
     return part > 0 && this.options.random.next() < part;
   }
 
--- a/lab/simulator/sidecars/sim-target-work.ts
+++ b/lab/simulator/sidecars/sim-target-work.ts
@@ -18,19 +18,19 @@
 const STATUS_FAILED = 500;
 const STATUS_DEADLINE = 504;
 /** Spread of the work: a uniform factor between 1 - SPREAD and 1 + SPREAD. */
-const SPREAD = 0.5;
+const WORK_SPREAD = 0.5;
 
 /** One call that the target works on. */
 export class SimTargetWork implements Cancellable {
   private timer: Timer | undefined;
   private readonly deadlineTimer: Timer;
   private nestedCalls: Cancellable[] = [];
-  private unanswered = 0;
+  private pendingCallCount = 0;
   private isOver = false;
   private readonly calls: readonly string[];
   /** Calls that are made at the same time. */
   private readonly callsPerStep: number;
-  private readonly partMs: number;
+  private readonly stepMs: number;
   private readonly startedAt: number;
   private nextCall = 0;
 
@@ -47,14 +47,14 @@
     this.calls = route.nested.flatMap((nested) =>
       Array.from({ length: nested.times }, () => nested.route),
     );
-    const spread = 1 - SPREAD + 2 * SPREAD * random.next();
+    const spread = 1 - WORK_SPREAD + 2 * WORK_SPREAD * random.next();
     const steps =
-      route.nestedTogether === true ? Math.min(1, this.calls.length) : this.calls.length;
+      route.nestedInParallel === true ? Math.min(1, this.calls.length) : this.calls.length;
     this.callsPerStep = steps === 0 ? 0 : this.calls.length / steps;
-    this.partMs = (route.workMs * workFactor * spread) / (steps + 1);
+    this.stepMs = (route.workMs * workFactor * spread) / (steps + 1);
     this.startedAt = clock.now();
     this.deadlineTimer = clock.schedule(deadlineMs, () => this.finish(STATUS_DEADLINE));
-    this.workOn();
+    this.scheduleStep();
   }
 
   /** Whether the target is still at work on the call. */
@@ -66,18 +66,18 @@
     this.end();
   }
 
-  private workOn(): void {
-    this.timer = this.clock.schedule(this.partMs, () => this.onPartDone());
+  private scheduleStep(): void {
+    this.timer = this.clock.schedule(this.stepMs, () => this.onStepDone());
   }
 
-  private onPartDone(): void {
+  private onStepDone(): void {
     if (this.nextCall >= this.calls.length) {
       this.finish(STATUS_OK);
       return;
     }
     const routes = this.calls.slice(this.nextCall, this.nextCall + this.callsPerStep);
     this.nextCall += routes.length;
-    this.unanswered = routes.length;
+    this.pendingCallCount = routes.length;
     for (const route of routes) this.call(route);
   }
 
@@ -93,10 +93,10 @@
       this.finish(STATUS_FAILED);
       return;
     }
-    this.unanswered -= 1;
-    if (this.unanswered > 0) return;
+    this.pendingCallCount -= 1;
+    if (this.pendingCallCount > 0) return;
     this.nestedCalls = [];
-    this.workOn();
+    this.scheduleStep();
   }
 
   private finish(status: number): void {
