--- a/lab/simulator/quota/quota-checker.ts
+++ b/lab/simulator/quota/quota-checker.ts
@@ -1,22 +1,22 @@
 /**
- * Watches from outside which requests of a group run, against the exact bound of any window of time. Knows nothing of
- * how the quota is kept.
+ * Checks the runs of a group's requests against the exact bound of its quota in any window, independently of
+ * how the quota is enforced.
  */
 import type { GroupRate } from '../../../src/policy/group-table.js';
 import { boundInWindow, type QuotaRule } from '../../../src/quota/quota-rule.js';
 
-/** A rate that was declared. */
+/** A rate and the time from which it was declared. */
 interface DeclaredRate {
   readonly rate: GroupRate;
   readonly at: number;
 }
 
-/** What was seen of one group. */
+/** Results for one group. */
 export interface QuotaFindings {
-  /** Most runs in a window over what the bound allowed then; above 1 the bound is broken. */
+  /** Largest ratio of the runs in a window to the bound; above 1 the bound is violated. */
   readonly worstPart: number;
   readonly runs: number;
-  /** Requests refused while the runs of the last window were below the declared rate and burst. */
+  /** Requests refused although the runs in the last window were below the declared rate and burst. */
   readonly wronglyRefused: number;
   readonly offered: number;
 }
@@ -29,7 +29,7 @@
   private wronglyRefused = 0;
   private readonly rates: DeclaredRate[];
 
-  /** @param graceMs time after which a lower rate binds, besides one window */
+  /** @param graceMs time in addition to one window after which a lower rate applies */
   constructor(
     rate: GroupRate,
     private readonly rule: QuotaRule,
@@ -38,7 +38,7 @@
     this.rates = [{ rate, at: -Infinity }];
   }
 
-  /** Another rate is declared. */
+  /** Records a change of the declared rate. */
   onRate(rate: GroupRate, now: number): void {
     this.rates.push({ rate, at: now });
   }
@@ -72,7 +72,7 @@
     return this.runTimes.length - this.firstInWindow;
   }
 
-  /** The largest bound of the rates that may still count. */
+  /** Returns the largest bound among the rates that may still apply. */
   private boundAt(now: number): number {
     const cutoff = now - this.rule.windowMs - this.graceMs;
     const applicable = this.rates.filter(
--- a/lab/simulator/quota/quota-ways.ts
+++ b/lab/simulator/quota/quota-ways.ts
@@ -1,6 +1,6 @@
 /**
- * Ways to keep the quota of a group over many ingresses, behind one interface: the product's leases, and two that
- * break what the tests ask of a quota, which shows that the tests can tell.
+ * Strategies to enforce a group's quota over many ingresses: the product's leases, and two that violate a
+ * requirement, which shows that the tests detect violations.
  */
 import type { Clock } from '../../../src/common/clock.js';
 import type { Group } from '../../../src/policy/group-table.js';
@@ -10,23 +10,22 @@
 import type { QuotaGrants, QuotaReport } from '../../../src/quota/quota-messages.js';
 import { SlidingCount } from '../../../src/common/sliding-count.js';
 
-/** Names of the ways. */
 export type QuotaStrategyName = 'leases' | 'equal-parts' | 'proportional';
 
-/** What an ingress does. */
+/** The part of a strategy that runs at an ingress. */
 export interface IngressSide {
   acquire(group: Group, maxWaitMs: number, listener: PermitListener): void;
   report(): QuotaReport;
   onGrants(grants: QuotaGrants, askedAt: number): void;
 }
 
-/** What a control replica does. */
+/** The part of a strategy that runs at a control replica. */
 export interface ControlSide {
-  /** @returns what a leader grants; undefined for a report that is older than another one */
+  /** @returns the grants that a leader sends; undefined if a newer report was received before */
   onReport(id: string, report: QuotaReport, now: number): QuotaGrants | undefined;
 }
 
-/** What the parts of a way are made of. */
+/** Options of the ingress side of a strategy. */
 export interface IngressSideOptions {
   readonly clock: Clock;
   readonly startedAt: number;
@@ -36,13 +35,13 @@
   readonly onShort: () => void;
 }
 
-/** Builds both sides of a way. */
+/** Creates both sides of a strategy. */
 export interface QuotaStrategy {
   ingress(options: IngressSideOptions): IngressSide;
   control(options: QuotaLedgerOptions, startedAt: number): ControlSide;
 }
 
-/** Counts what runs and what is offered here; the limit is what the way says. */
+/** Counts admitted and offered requests locally; subclasses define the local limit. */
 abstract class CountingIngress implements IngressSide {
   protected readonly used = new Map<string, SlidingCount>();
   protected readonly offered = new Map<string, SlidingCount>();
@@ -87,10 +86,10 @@
   }
 }
 
-/** The limit divided by the number of ingresses. */
+/** Divides the limit by the number of ingresses. */
 class EqualShareIngress extends CountingIngress {
   onGrants(): void {
-    // Nothing is granted.
+    // The local limit does not depend on grants.
   }
 
   protected localLimit(group: string): number {
@@ -98,7 +97,9 @@
   }
 }
 
-/** The limit divided by what all ingresses together were offered at the last heartbeat; no commitments. */
+/**
+ * Divides the limit in proportion to the requests offered to all ingresses at the last heartbeat, without leases.
+ */
 class ProportionalIngress extends CountingIngress {
   private readonly totals = new Map<string, number>();
 
@@ -113,7 +114,7 @@
   }
 }
 
-/** Tells each ingress what all of them together were offered. */
+/** Grants each ingress the total number of requests offered to all of them. */
 class OfferedTotalsControl implements ControlSide {
   private readonly reports = new Map<string, QuotaReport>();
 
--- a/lab/simulator/quota/quota-world.ts
+++ b/lab/simulator/quota/quota-world.ts
@@ -1,7 +1,7 @@
 /**
- * Ingresses, control replicas and callers of groups with a rate, in virtual time: uneven demand that changes, and
- * leaders that are lost or deposed, replicas and ingresses that restart empty, ingresses that are cut off, limits that fall.
- * One seed gives one run. Messages take some milliseconds and overtake one another.
+ * Simulates ingresses, control replicas and callers of rate-limited groups in virtual time, with uneven load and
+ * faults: leader changes, restarts with empty state, network partitions and lowered limits. A run is determined
+ * by its seed. Messages are delayed by some milliseconds and may be reordered.
  */
 import { exponential, SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
@@ -16,7 +16,7 @@
   type QuotaStrategyName,
 } from './quota-ways.js';
 
-/** One run. */
+/** Options of a run. */
 export interface QuotaRun {
   readonly seed: number;
   readonly way: QuotaStrategyName;
@@ -24,18 +24,18 @@
   readonly groups: number;
   readonly durationMs: number;
   readonly rule: QuotaRule;
-  /** Whether processes are lost, cut off and restarted. */
+  /** Whether faults are injected: leader changes, restarts, partitions and lowered limits. */
   readonly faults: boolean;
-  /** Multiples of its usual demand that a group sends, drawn anew every few seconds. */
+  /** Multiples of the normal load of a group, from which one is drawn in each phase. */
   readonly surges: readonly number[];
-  /** Milliseconds after the beginning of traffic at which all processes lose power; never where absent. */
+  /** Time after the start of traffic at which all processes lose power. Default: never. */
   readonly powerLossAtMs?: number;
 }
 
-/** What a run gave. */
+/** Results of a run. */
 export interface QuotaResult {
   readonly groups: readonly QuotaFindings[];
-  /** Groups that a report names, in the mean. */
+  /** Mean number of groups per report. */
   readonly usesPerReport: number;
 }
 
@@ -43,11 +43,12 @@
 const HEARTBEAT_MS = 1_000;
 const MAX_DELAY_MS = 12;
 const MAX_WAIT_MS = 50;
-/** Part of its rate that a group usually sends. */
+/** Fraction of its rate that a group sends under normal load. */
 const BASE_LOAD_FRACTION = 0.625;
 const MAX_RATE_PER_SECOND = 200;
-/** A request runs this long after it was let in at most, in milliseconds, and how often it does not run. */
+/** Maximum delay between the admission of a request and its run. */
 const MAX_RUN_DELAY_MS = 300;
+/** Probability that an admitted request does not run and releases its permit. */
 const NOT_RUN_PROBABILITY = 0.05;
 const PHASE_MS = 4_000;
 const MEAN_FAULT_INTERVAL_MS = 900;
@@ -56,7 +57,7 @@
 const MAX_PARTITION_MS = 6_000;
 const RESTART_MS = 1_200;
 const ELECTION_MS = 1_500;
-/** Time after an acknowledgement in which a configuration is in force everywhere. */
+/** Time after which an acknowledged configuration is in force at all processes. */
 const APPLY_MS = 2_000;
 const LOWERED_RATE_FACTOR = 0.4;
 
@@ -74,7 +75,7 @@
 interface SimGroup {
   readonly group: Group;
   readonly checker: QuotaChecker;
-  /** Ingresses that its callers use, some several times. */
+  /** Ingress index of each caller; several callers may share an ingress. */
   ingressIndexes: number[];
   surge: number;
 }
@@ -88,7 +89,7 @@
   private readonly groups: SimGroup[];
   private readonly rates = new Map<string, GroupRate>();
   private leader: number | undefined = 0;
-  /** A replica that has been deposed and does not know it. */
+  /** A former leader that still grants because it has not detected its loss of leadership. */
   private deposed: number | undefined;
   private reports = 0;
   private reportedUses = 0;
@@ -102,7 +103,7 @@
   }
 
   execute(): QuotaResult {
-    // Processes start some time before there is traffic.
+    // Processes start before traffic, so that reports are exchanged first.
     for (const ingress of this.ingresses) this.runHeartbeats(ingress, ingress.incarnation);
     const trafficAt = 12_000;
     this.clock.schedule(trafficAt, () => {
@@ -132,7 +133,7 @@
     };
   }
 
-  /** About a caller for every three requests a second, each at one ingress. */
+  /** Draws one ingress per caller, with about one caller per three requests per second. */
   private drawIngresses(perSecond: number): number[] {
     const callers = Math.max(2, Math.round(perSecond / 3));
     return Array.from({ length: callers }, () => this.random.below(this.run.ingresses));
@@ -178,7 +179,7 @@
     this.clock.schedule(delayMs, () => this.runHeartbeats(ingress, incarnation));
   }
 
-  /** @param only the one replica that gets it; all where absent */
+  /** @param only index of the only replica to send to; all replicas if omitted */
   private sendHeartbeat(ingress: SimIngress, only?: number): void {
     if (ingress.isPartitioned) return;
     const { incarnation } = ingress;
@@ -214,8 +215,8 @@
     });
   }
 
-  private send({ group, checker, ingressIndexes: places }: SimGroup): void {
-    const ingress = this.ingresses[places[this.random.below(places.length)]!]!;
+  private send({ group, checker, ingressIndexes }: SimGroup): void {
+    const ingress = this.ingresses[ingressIndexes[this.random.below(ingressIndexes.length)]!]!;
     checker.onOffered();
     ingress.side.acquire(group, MAX_WAIT_MS, (permit) => {
       const now = this.clock.now();
@@ -228,7 +229,7 @@
     });
   }
 
-  /** Demand changes: some groups surge, some callers move to other ingresses. */
+  /** Draws a new load for each group and moves the callers of some groups to other ingresses. */
   private startPhase(): void {
     for (const sim of this.groups) {
       const { surges } = this.run;
@@ -254,7 +255,7 @@
     });
   }
 
-  /** The leader is lost, or deposed without knowing it for a moment; another one follows. */
+  /** Removes the leader and elects another one later; the old one may still grant for a moment. */
   private loseLeader(): void {
     const old = this.leader;
     if (old === undefined) return;
@@ -286,7 +287,7 @@
     );
   }
 
-  /** All processes are back after a moment, with nothing; a leader is found. */
+  /** Restarts all processes with empty state, then elects a leader. */
   private losePower(): void {
     this.leader = undefined;
     this.clock.schedule(RESTART_MS, () => {
@@ -296,7 +297,7 @@
     this.clock.schedule(RESTART_MS + ELECTION_MS, () => (this.leader = 0));
   }
 
-  /** A replica that does not lead comes back with nothing. */
+  /** Restarts a random replica with empty state unless it grants. */
   private restartReplica(): void {
     const index = this.random.below(REPLICAS);
     if (index === this.leader || index === this.deposed) return;
--- a/lab/simulator/sidecars/arrival-ledger.ts
+++ b/lab/simulator/sidecars/arrival-ledger.ts
@@ -1,20 +1,18 @@
 /**
- * Counts what arrives at the targets of each service, and compares the arrivals beyond the first of each
- * request with a retry budget over a sliding window. A call made by a run that was itself a repeat counts
- * as a repeat at the service called.
+ * Counts the arrivals of requests at each service and compares the repeated ones with a retry budget over a
+ * sliding window. A call made by a repeated run counts as a repeat at the called service.
  */
 
-/** How many arrivals beyond the first a service may see. */
+/** Limit on the repeated arrivals at a service. */
 export interface ArrivalBound {
-  /** Repeats allowed for each request, 0 to 1. */
+  /** Repeats allowed per request, 0 to 1. */
   readonly ratio: number;
-  /** Repeats allowed besides, over the whole fleet. */
+  /** Additional repeats allowed per window over all targets of the service. */
   readonly slack: number;
-  /** Length of the window, in milliseconds. */
   readonly windowMs: number;
 }
 
-/** The window of a service in which its repeats are highest against what is allowed. */
+/** The window in which the repeats at a service exceed the allowed number by the most. */
 export interface WorstWindow {
   readonly service: string;
   readonly startMs: number;
@@ -24,28 +22,28 @@
 }
 
 interface ServiceArrivals {
-  /** By step of time. */
+  /** Counts indexed by time step. */
   readonly requests: number[];
   readonly repeats: number[];
 }
 
-/** Windows begin at multiples of this, in milliseconds. */
+/** Windows start at multiples of this step. */
 const STEP_MS = 250;
 
 export class ArrivalLedger {
   private readonly services = new Map<string, ServiceArrivals>();
 
-  /** A request for `service` was sent that no repeated run has made, whether or not it arrives. */
+  /** Counts a request to `service` that was not sent by a repeated run, whether or not it arrives. */
   onRequest(service: string, now: number): void {
     increment(this.arrivals(service).requests, now);
   }
 
-  /** A request arrived at a target again, or was made by a run that was itself a repeat. */
+  /** Counts an arrival that repeats an earlier one, or that was sent by a repeated run. */
   onRepeat(service: string, now: number): void {
     increment(this.arrivals(service).repeats, now);
   }
 
-  /** The worst window of all services. */
+  /** Returns the window with the largest excess over `bound` among all services. */
   worst(bound: ArrivalBound): WorstWindow {
     const windows = [...this.services].flatMap(([service, arrivals]) =>
       windowsOf(service, arrivals, bound),
@@ -76,7 +74,7 @@
   const steps = Math.round(bound.windowMs / STEP_MS);
   const { requests, repeats } = arrivals;
   return Array.from({ length: Math.max(requests.length, repeats.length) }, (_, start) => {
-    // Repeats may follow the requests that they belong to, so a window is also held against earlier requests.
+    // Repeats lag behind their requests, so the window is also compared with earlier requests.
     const sent = Math.max(
       sum(requests, start, steps),
       sum(requests, start - steps / 2, steps),
--- a/lab/simulator/sidecars/call-graph.ts
+++ b/lab/simulator/sidecars/call-graph.ts
@@ -1,4 +1,4 @@
-/** A deployment of sidecars for the simulation in virtual time: its services, and routes with their demand. */
+/** Describes a deployment of sidecars for the simulation: its services, and its routes with their load. */
 import type { Importance } from '../../../src/policy/importance.js';
 import type { Route } from '../../../src/policy/route-table.js';
 
@@ -6,43 +6,46 @@
 export interface SimService {
   readonly name: string;
   readonly targets: number;
-  /** Calls that a target works on at the same time. */
+  /** Maximum number of concurrent calls per target. */
   readonly slots: number;
-  /** Work of each target relative to the route's, in turn: 2 takes twice as long. */
+  /** Multiples of the route's work time, assigned to the targets in rotation. */
   readonly workFactors: readonly number[];
 }
 
-/** Calls that a target makes one after the other for each call of a route. */
+/** Downstream calls that a target makes for each call of a route. */
 export interface SimNestedCalls {
   readonly route: string;
   readonly times: number;
 }
 
-/** A route with its demand. */
+/** A route with its load. */
 export interface SimRoute {
   readonly route: Route;
   readonly service: string;
-  /** Mean work of the target itself, in milliseconds. */
+  /** Mean processing time at the target, without downstream calls. */
   readonly workMs: number;
   readonly nested: readonly SimNestedCalls[];
-  /** Whether those calls are made all at once in place of one after the other. Default false. */
+  /** Whether the nested calls run in parallel instead of in sequence. Default false. */
   readonly nestedInParallel?: boolean;
-  /** Requests of clients a second; 0 for routes that only targets call. */
+  /** Client requests per second; 0 for routes that only targets call. */
   readonly perSecond: number;
-  /** Milliseconds that a client or calling target waits. */
+  /** Time after which a client or calling target gives up. */
   readonly deadlineMs: number;
-  /** Times that a client sends a request again. */
+  /** Maximum number of retries by a client. */
   readonly clientRetries: number;
 }
 
 export interface CallGraph {
-  /** Zones, each with a block of the targets of every service. Default: three, which take the targets in turn. */
+  /**
+   * Number of zones, each with a contiguous block of the targets of every service. By default, the targets
+   * are assigned to three zones in rotation.
+   */
   readonly zones?: number;
   readonly services: readonly SimService[];
   readonly routes: readonly SimRoute[];
 }
 
-/** What a route is made of here; the rest takes the values that all share. */
+/** Options of {@link simRoute}; all other properties of a route take fixed values. */
 export interface RouteOptions extends Omit<SimRoute, 'route' | 'clientRetries'> {
   readonly name: string;
   readonly rank: number;
@@ -54,7 +57,7 @@
 const MAX_IMPORTANCE = 3;
 const MAX_TARGETS = 2;
 
-/** Completes a route. */
+/** Creates a route from its options and the values that all routes share. */
 export function simRoute(options: RouteOptions): SimRoute {
   const { name, rank, repeatable, objectiveMs, timeoutMs, ...rest } = options;
   return {
--- a/lab/simulator/sidecars/chain-graph.ts
+++ b/lab/simulator/sidecars/chain-graph.ts
@@ -1,15 +1,14 @@
-/** Services in a row, each of which calls the next: for what has to hold at any depth. */
+/** A call graph in which each service calls the next one, for properties that must hold at any depth. */
 import { simRoute, type CallGraph } from './call-graph.js';
 
-/** A chain of services. */
 export interface ChainOptions {
   /** Number of services, at least 1. */
   readonly depth: number;
-  /** Calls that a target makes to the next service, one after the other. Default 1. */
+  /** Sequential calls that a target makes to the next service. Default 1. */
   readonly fanOut?: number;
-  /** Requests of clients a second, all to the first service. */
+  /** Client requests per second, all to the first service. */
   readonly perSecond: number;
-  /** Work of each target itself, in milliseconds. Default 2. */
+  /** Processing time at each target, without downstream calls. Default 2. */
   readonly workMs?: number;
 }
 
@@ -20,12 +19,12 @@
 const DEADLINE_MS = 5_000;
 const NESTED_RANK = 1;
 
-/** Name of the service at a depth, counted from 0. */
+/** Returns the name of the service at a depth, counted from 0. */
 export function chainService(depth: number): string {
   return `service-${depth}`;
 }
 
-/** The graph of a chain. No service is short of slots. */
+/** Creates the call graph of a chain in which no service runs out of slots. */
 export function chainGraph({
   depth,
   fanOut = 1,
--- a/lab/simulator/sidecars/deep-search-graph.ts
+++ b/lab/simulator/sidecars/deep-search-graph.ts
@@ -1,12 +1,12 @@
 /**
- * A search deployment whose least urgent route fans out: each search makes two calls that each lead to
- * five lookups, two services further down, at the service that urgent requests need as well.
+ * A search deployment whose least important route fans out: each search makes two calls that each lead to
+ * five lookups at the last service of the chain, which important requests need as well.
  */
 import { simRoute, type CallGraph } from './call-graph.js';
 import { nestedSearchRoutes } from './nested-search-routes.js';
 
 const NO_CALLS = [] as const;
-/** Work of a lookup at the least service, in milliseconds. */
+/** Processing time of a lookup at the ranker. */
 const LOOKUP_MS = 64;
 
 export const DEEP_SEARCH_GRAPH: CallGraph = {
--- a/lab/simulator/sidecars/fan-in-graph.ts
+++ b/lab/simulator/sidecars/fan-in-graph.ts
@@ -1,7 +1,7 @@
 /**
- * A deployment in which two kinds of request of unlike urgency lead, over two services each, to many small
- * lookups at one service that a third kind needs as well. Work, slots and demand are those of an order
- * mesh with four services; the lookups take all of the least service when demand doubles.
+ * An order deployment in which two routes of different importance lead, over two services each, to many small
+ * lookups at one service that a third route needs as well. At twice the load, the lookups take all slots of
+ * that service.
  */
 import { simRoute, type CallGraph } from './call-graph.js';
 
--- a/lab/simulator/sidecars/large-search-graph.ts
+++ b/lab/simulator/sidecars/large-search-graph.ts
@@ -1,13 +1,13 @@
 /**
- * A search deployment of 195 machines whose least urgent route fans out: each search makes two calls that each lead to
- * five lookups, two services further down, at the least service. Its chain takes four fifths of its objective without any
- * wait, and clients send each machine about twenty requests a second of four kinds.
+ * A search deployment of 195 machines whose least important route fans out: each search makes two calls that
+ * each lead to five lookups at the last service of the chain. The chain takes most of the route's objective
+ * even without queueing.
  */
 import { simRoute, type CallGraph } from './call-graph.js';
 import { nestedSearchRoutes } from './nested-search-routes.js';
 
 const NO_CALLS = [] as const;
-/** Work of a lookup at the least service, in milliseconds. */
+/** Processing time of a lookup at the ranker. */
 const LOOKUP_MS = 140;
 
 export const LARGE_SEARCH_GRAPH: CallGraph = {
--- a/lab/simulator/sidecars/nested-search-routes.ts
+++ b/lab/simulator/sidecars/nested-search-routes.ts
@@ -1,7 +1,10 @@
-/** The calls that targets of a search deployment make: each check leads to a manifest, and each manifest to five lookups. */
+/**
+ * Routes that only the targets of a search deployment call: each check leads to a manifest, and each manifest to
+ * five lookups.
+ */
 import { simRoute, type SimRoute } from './call-graph.js';
 
-/** @param lookupMs work of a lookup, in milliseconds */
+/** @param lookupMs processing time of a lookup */
 export function nestedSearchRoutes(lookupMs: number): SimRoute[] {
   return [
     simRoute({
--- a/lab/simulator/sidecars/sidecar-world.ts
+++ b/lab/simulator/sidecars/sidecar-world.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a call graph of sidecars in virtual time under a demand that varies, and counts what clients got. Owns clock,
- * random source and clients; control and its losses are left out. One seed gives one run.
+ * Runs a call graph of sidecars in virtual time under varying load and counts the results that clients see.
+ * A run is determined by its seed. Control replicas are not simulated.
  */
 import { exponential, SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
@@ -10,21 +10,21 @@
 import { SimSidecar, type SidecarEnvironment, type SimAnswer } from './sim-sidecar.js';
 import { NO_TARGET_FAULTS, type TargetFaults } from './sim-target-transport.js';
 
-/** A span of a run with its demand. */
+/** A phase of a run with its load. */
 export interface DemandPhase {
   readonly durationMs: number;
-  /** Multiple of the routes' usual demand. */
+  /** Multiple of the normal load of the routes. */
   readonly factor: number;
-  /** What targets do wrong meanwhile, by service. Default: nothing. */
+  /** Faults injected at targets during the phase, by service. Default: none. */
   readonly faults?: Readonly<Record<string, TargetFaults>>;
 }
 
-/** What the clients of one route got. */
+/** Results of the client requests of one route. */
 export interface RouteResult {
   sent: number;
-  /** Answered within the objective. */
+  /** Answered within the latency objective. */
   inTime: number;
-  /** Answered later, and before the deadline. */
+  /** Answered after the objective, before the deadline. */
   late: number;
   refused: number;
   failed: number;
@@ -33,11 +33,10 @@
 const MS_PER_SECOND = 1_000;
 const STATUS_OK = 200;
 const STATUS_NOT_RUN = 503;
-/** A client heeds `Retry-After` for no more than this part of the time it has left. */
+/** Clients wait for `Retry-After` at most this fraction of their remaining time. */
 const MAX_RETRY_AFTER_FRACTION = 1 / 3;
-/** Zones of a graph that gives none. */
 const DEFAULT_ZONES = 3;
-/** Time at the end of a run in which requests under way finish. */
+/** Time at the end of a run for requests in flight to complete. */
 const SETTLE_MS = 10_000;
 
 export class SidecarWorld implements SidecarEnvironment {
@@ -50,9 +49,9 @@
   private demandFactor = 1;
   private faults: Readonly<Record<string, TargetFaults>> = {};
   private isSendingRequests = true;
-  /** Attempts sent so far, and those of them that went to another zone. */
+  /** Number of attempts sent so far, and of those sent to another zone. */
   readonly attempts = { sent: 0, crossing: 0 };
-  /** What arrives at targets, seen from outside. */
+  /** Arrivals at targets, counted independently of the code under test. */
   readonly arrivals = new ArrivalLedger();
 
   constructor(graph: CallGraph, seed: number) {
@@ -77,7 +76,7 @@
     return this.sidecars.get(id)!;
   }
 
-  /** Calls that all targets work on now. */
+  /** Number of calls in progress at all targets. */
   get running(): number {
     return this.allSidecars.reduce((total, sidecar) => total + sidecar.running, 0);
   }
@@ -91,7 +90,7 @@
     return this.faults[service] ?? NO_TARGET_FAULTS;
   }
 
-  /** Starts a sidecar again in each interval, drawn by lot, as long as the run takes. */
+  /** Restarts a random sidecar at each interval until the run ends. */
   restartEvery(intervalMs: number): void {
     this.clock.schedule(intervalMs, () => {
       if (!this.isSendingRequests) return;
@@ -100,7 +99,7 @@
     });
   }
 
-  /** Runs the phases one after the other. @returns for each what clients got that began in it */
+  /** Runs the phases in sequence. @returns for each phase, the results by route of the requests started in it */
   run(phases: readonly DemandPhase[]): Map<string, RouteResult>[] {
     for (const each of this.routes.values()) {
       if (each.perSecond > 0) this.scheduleNext(each);
@@ -179,7 +178,7 @@
   }
 }
 
-/** @param zones blocks that the targets are divided into; undefined: they take turns */
+/** @param zones number of contiguous blocks; undefined assigns zones in rotation */
 function zoneOf(index: number, targets: number, zones: number | undefined): string {
   if (zones === undefined) return `zone-${index % DEFAULT_ZONES}`;
   return `zone-${Math.floor((index * zones) / targets)}`;
--- a/lab/simulator/sidecars/sim-gate-services.ts
+++ b/lab/simulator/sidecars/sim-gate-services.ts
@@ -1,4 +1,7 @@
-/** What the calls of one simulated gate share: the product's own decisions, before a target that neither moves nor crashes. */
+/**
+ * Creates the services of a simulated gate from the production classes. Draining, claims and quarantine are
+ * disabled.
+ */
 import { AdmissionController } from '../../../src/admission/admission-controller.js';
 import { CongestionLevel } from '../../../src/admission/congestion-level.js';
 import { KindImpact } from '../../../src/admission/kind-impact.js';
@@ -14,12 +17,12 @@
 import type { RepeatedRuns } from '../../../src/retry/repeated-runs.js';
 import type { ServiceRetryBudget } from '../../../src/retry/service-retry-budget.js';
 
-/** What a gate shares with the other parts of its machine. */
+/** State that a gate shares with the rest of its sidecar. */
 export interface SimGateOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly limiter: SlotLimiter;
-  /** Of the calls that the target makes. */
+  /** Congestion of the calls that the target makes. */
   readonly downstream: CongestionLevel;
   readonly retryBudget: ServiceRetryBudget;
   readonly repeatedRuns: RepeatedRuns;
--- a/lab/simulator/sidecars/sim-peer-transport.ts
+++ b/lab/simulator/sidecars/sim-peer-transport.ts
@@ -1,4 +1,4 @@
-/** Sends the attempts of one simulated request to the gates of other sidecars, over links that take a fixed time. */
+/** Sends the attempts of one simulated request to the gates of other sidecars with a fixed link delay. */
 import type { Outcome } from '../../../src/call/outcome.js';
 import type {
   Attempt,
@@ -12,11 +12,11 @@
 import type { SidecarEnvironment } from './sim-sidecar.js';
 import type { Cancellable } from '../../model/cancellable.js';
 
-/** One way between two machines, in milliseconds. */
+/** One-way delay between two machines. */
 const LINK_DELAY_MS = 1;
 export class SimPeerTransport implements OutboundTransport {
   readonly replayable = true;
-  /** Status of the answer that was passed on. */
+  /** Status of the relayed answer; 0 before there is one. */
   status = 0;
 
   constructor(
--- a/lab/simulator/sidecars/sim-sidecar.ts
+++ b/lab/simulator/sidecars/sim-sidecar.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated machine: a target, and the sidecar beside it with the product's own decisions at its
- * ingress and its gate. Links between machines take a fixed time and lose nothing.
+ * A simulated machine: a target and its sidecar, which uses the production code at its ingress and its gate.
+ * Links between machines have a fixed delay and lose no messages.
  */
 import { clientRetryAfterSeconds } from '../../../src/call/retry-after.js';
 import { CongestionLevel } from '../../../src/admission/congestion-level.js';
@@ -39,34 +39,34 @@
 import { SimTargetWork } from './sim-target-work.js';
 import type { Cancellable } from '../../model/cancellable.js';
 
-/** What the machines of a run share. */
+/** State and lookups that all sidecars of a run share. */
 export interface SidecarEnvironment {
   readonly clock: VirtualClock;
   readonly random: RandomSource;
   route(name: string): SimRoute;
   sidecar(id: string): SimSidecar;
-  /** An attempt was sent. @param crossesZones whether it went to another zone */
+  /** Called for each attempt. @param crossesZones whether it was sent to another zone */
   onAttempt(crossesZones: boolean): void;
-  /** What the targets of a service do wrong now. */
+  /** Returns the faults currently injected at the targets of a service. */
   targetFaults(service: string): TargetFaults;
   readonly arrivals: ArrivalLedger;
 }
 
-/** Where a machine stands. */
+/** Position of a machine in the deployment. */
 export interface SimLocation {
-  /** Its number among the machines of its service. */
+  /** Index among the machines of its service. */
   readonly index: number;
   readonly zone: string;
 }
 
-/** A request's final answer at its ingress. */
+/** Final answer of an ingress to a request. */
 export interface SimAnswer {
   readonly status: number;
-  /** Seconds after which a refused request may come again; 0 where none was told. */
+  /** Value of `Retry-After`; 0 if the header is absent. */
   readonly retryAfterSeconds: number;
 }
 
-/** Hears what a gate answers; `status` is 0 where it refused. */
+/** Receives the answer of a gate; `status` is 0 if no answer of the target was relayed. */
 type GateAnswerListener = (status: number, outcome: Outcome) => void;
 
 export class SimSidecar {
@@ -137,23 +137,23 @@
     });
   }
 
-  /** Calls that the target works on now. */
+  /** Number of calls in progress at the target. */
   get running(): number {
     this.activeWork = this.activeWork.filter((work) => work.isRunning);
     return this.activeWork.length;
   }
 
-  /** The process is started again: it has forgotten what arrived at its target. */
+  /** Simulates a restart of the sidecar process, which loses the arrivals counted for the retry budget. */
   restart(): void {
     this.retryBudget.reset();
   }
 
-  /** Adopts the list of endpoints. */
+  /** Replaces the list of endpoints. */
   update(records: readonly EndpointRecord[]): void {
     this.directory.update(records);
   }
 
-  /** Takes a request that begins on this machine. */
+  /** Handles a request from a client or from the local target. */
   ingress(
     simRoute: SimRoute,
     clientTimeoutMs: number,
@@ -187,7 +187,7 @@
     );
   }
 
-  /** Takes a call that another sidecar routed here. */
+  /** Handles a call that another sidecar sent to the local target. */
   gate(
     frame: CallFrameContext,
     caller: string,
--- a/lab/simulator/sidecars/sim-target-transport.ts
+++ b/lab/simulator/sidecars/sim-target-transport.ts
@@ -1,31 +1,30 @@
-/** Hands one call to a simulated target, which may turn it away or lose its answer. */
+/** Delivers one call to a simulated target, which may reject it or lose its answer. */
 import type { Attempt, AttemptListener, TargetTransport } from '../../../src/call/transport.js';
 import type { Clock } from '../../../src/common/clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { Cancellable } from '../../model/cancellable.js';
 
-/** What the targets of a service do wrong. */
+/** Faults injected at the targets of a service. */
 export interface TargetFaults {
-  /** Part of the calls that they turn away without running them, whatever room they have, 0 to 1. */
+  /** Fraction of calls rejected without running, regardless of free slots, 0 to 1. */
   readonly rejectedPart: number;
-  /** Part of the answers that are lost after the call has run, 0 to 1. */
+  /** Fraction of answers lost after the call has run, 0 to 1. */
   readonly lostPart: number;
-  /** Part of the targets, the first of the service, whose work takes a multiple of its usual time, 0 to 1. Default 0. */
+  /** Fraction of the targets, in order of their index, that are slow, 0 to 1. Default 0. */
   readonly slowPart?: number;
-  /** That multiple. Default 1. */
+  /** Multiple of the normal work time at slow targets. Default 1. */
   readonly slowFactor?: number;
 }
 
 export const NO_TARGET_FAULTS: TargetFaults = { rejectedPart: 0, lostPart: 0 };
 
-/** What the transports of one machine share. */
 export interface SimTargetOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly faults: () => TargetFaults;
 }
 
-/** One way to the target on the same machine, in milliseconds. */
+/** Delay of a rejection by the local target. */
 const LOCAL_DELAY_MS = 0.1;
 const STATUS_REJECTED = 503;
 
@@ -33,8 +32,8 @@
   onRelayed: (status: number) => void = () => undefined;
 
   /**
-   * @param startWork the call arrives and the target works on it; `done` hears its status
-   * @param onRejected the call arrives and is turned away
+   * @param startWork starts the call at the target; `done` receives its status
+   * @param onRejected called when the target rejects the call
    */
   constructor(
     private readonly options: SimTargetOptions,
@@ -56,7 +55,7 @@
     return { written: true, cancel: () => work.cancel() };
   }
 
-  /** Draws nothing where nothing is wrong, so that runs without faults don't depend on them. */
+  /** Draws no random value if the fault is disabled, so that runs without faults keep their random sequence. */
   private drawFault(part: number): boolean {
     return part > 0 && this.options.random.next() < part;
   }
--- a/lab/simulator/sidecars/sim-target-work.ts
+++ b/lab/simulator/sidecars/sim-target-work.ts
@@ -1,13 +1,13 @@
 /**
- * A target at work on calls: its own work in equal parts, with the calls that it makes between them,
- * one after the other. A call that fails fails the work.
+ * Simulates the processing of one call at a target: equal steps of its own work with nested calls between them.
+ * The call fails if a nested call fails.
  */
 import type { Clock, Timer } from '../../../src/common/clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { Cancellable } from '../../model/cancellable.js';
 import type { SimRoute } from './call-graph.js';
 
-/** Sends a call that the target makes. `done` hears its status. */
+/** Sends a nested call of the target. `done` receives its status. */
 export type NestedSender = (
   route: string,
   deadlineMs: number,
@@ -17,10 +17,9 @@
 const STATUS_OK = 200;
 const STATUS_FAILED = 500;
 const STATUS_DEADLINE = 504;
-/** Spread of the work: a uniform factor between 1 - SPREAD and 1 + SPREAD. */
+/** Work time is multiplied by a uniform random factor between 1 - WORK_SPREAD and 1 + WORK_SPREAD. */
 const WORK_SPREAD = 0.5;
 
-/** One call that the target works on. */
 export class SimTargetWork implements Cancellable {
   private timer: Timer | undefined;
   private readonly deadlineTimer: Timer;
@@ -28,13 +27,13 @@
   private pendingCallCount = 0;
   private isOver = false;
   private readonly calls: readonly string[];
-  /** Calls that are made at the same time. */
+  /** Number of nested calls sent in parallel after each step. */
   private readonly callsPerStep: number;
   private readonly stepMs: number;
   private readonly startedAt: number;
   private nextCall = 0;
 
-  /** @param deadlineMs time after which the target gives up */
+  /** @param deadlineMs time after which the call ends with status 504 */
   constructor(
     private readonly clock: Clock,
     random: RandomSource,
@@ -57,7 +56,6 @@
     this.scheduleStep();
   }
 
-  /** Whether the target is still at work on the call. */
   get isRunning(): boolean {
     return !this.isOver;
   }
--- a/test/lab/fan-in-overload.test.ts
+++ b/test/lab/fan-in-overload.test.ts
@@ -1,7 +1,6 @@
 /**
- * Sidecars in virtual time, where two kinds of request lead to many lookups at one small service that a third
- * kind needs as well, at 2.4 times the usual demand. Its slots allow for 0.44 of the least urgent kind once
- * the others have theirs.
+ * Guards the division of a small service between several routes under overload. At 2.4 times the normal load,
+ * its slots suffice for 0.44 of the least important route after the others.
  */
 import { expect } from 'chai';
 import { FAN_IN_GRAPH } from '../../lab/simulator/sidecars/fan-in-graph.js';
--- a/test/lab/large-fleet-start.test.ts
+++ b/test/lab/large-fleet-start.test.ts
@@ -1,11 +1,6 @@
 /**
- * Sidecars of a large fleet in virtual time that start all at once under their usual load.
- *
- * Symptom: a quarter of the most urgent requests of the first half second failed with all of their own work done.
- * Sequence: each gate of the third service let in six calls of the second one, and refused the next ones until it had seen
- * enough calls to tell that targets make them; a refused call fails the request that it is part of. Cause: the first limit
- * of a kind, which is for clients' requests, held for kinds of which nothing was known yet. 0.27 of the requests sent in the
- * first half second failed, and 0.00 with kinds presumed to be called by targets as long as all calls come from few services.
+ * Guards against gates of a large fleet that, right after a simultaneous start, refuse nested calls because they
+ * apply the initial limit for client requests to kinds they have not yet observed.
  */
 import { expect } from 'chai';
 import { LARGE_SEARCH_GRAPH } from '../../lab/simulator/sidecars/large-search-graph.js';
--- a/test/lab/sidecar-overload.test.ts
+++ b/test/lab/sidecar-overload.test.ts
@@ -1,6 +1,6 @@
 /**
- * Sidecars in virtual time under a lasting overload of the deepest service. What can be finished of the
- * least urgent route, once the urgent ones have theirs, is to be finished.
+ * Guards against sidecars that complete too few requests of the least important route while the deepest service
+ * is overloaded, although the important routes leave capacity for them.
  */
 import { expect } from 'chai';
 import { DEEP_SEARCH_GRAPH } from '../../lab/simulator/sidecars/deep-search-graph.js';
@@ -10,7 +10,7 @@
 const ONSET_MS = 3_000;
 const OVERLOAD_MS = 12_000;
 const RECOVERY_MS = 4_000;
-/** Part of its worth that a late answer earns, as the deployment's operators say. */
+/** Value of a late answer relative to one in time, as defined by the operators of the deployment. */
 const LATE_WORTH = 0.3;
 const SEED = 1;
 const URGENT_ROUTES = ['repo-register', 'ranked-search'];
@@ -21,8 +21,8 @@
 }
 
 /**
- * The lookups that the deepest service can make, less those of the urgent routes, allow for 0.62 of the
- * searches at 1.7 times the usual demand, and 0.42 at 2.2 times. The floors are two thirds of that.
+ * The lookup capacity of the deepest service that the urgent routes leave suffices for 0.62 of the searches at
+ * 1.7 times the normal load, and for 0.42 at 2.2 times. The floors are two thirds of that.
  */
 const CASES = [
   { factor: 1.7, floor: 0.42 },
