--- a/lab/simulator/quota/quota-ways.ts
+++ b/lab/simulator/quota/quota-ways.ts
@@ -1,6 +1,6 @@
 /**
- * Ways to keep the quota of a group over many ingresses, behind one interface: the product's leases, and two that
- * break what the tests ask of a quota, which shows that the tests can tell.
+ * Strategies to enforce a group's quota over many ingresses: the product's leases, and two that violate a
+ * requirement, which shows that the tests detect violations.
  */
 import type { Clock } from '../../../src/common/clock.js';
 import type { Group } from '../../../src/policy/group-table.js';
@@ -10,23 +10,22 @@
 import type { QuotaGrants, QuotaReport } from '../../../src/quota/quota-messages.js';
 import { SlidingCount } from '../../../src/common/sliding-count.js';
 
-/** Names of the ways. */
-export type QuotaWayName = 'leases' | 'equal-parts' | 'proportional';
+export type QuotaStrategyName = 'leases' | 'equal-parts' | 'proportional';
 
-/** What an ingress does. */
+/** The part of a strategy that runs at an ingress. */
 export interface IngressSide {
   acquire(group: Group, maxWaitMs: number, listener: PermitListener): void;
   report(): QuotaReport;
   onGrants(grants: QuotaGrants, askedAt: number): void;
 }
 
-/** What a control replica does. */
+/** The part of a strategy that runs at a control replica. */
 export interface ControlSide {
-  /** @returns what a leader grants; undefined for a report that is older than another one */
+  /** @returns the grants that a leader sends; undefined if a newer report was received before */
   onReport(id: string, report: QuotaReport, now: number): QuotaGrants | undefined;
 }
 
-/** What the parts of a way are made of. */
+/** Options of the ingress side of a strategy. */
 export interface IngressSideOptions {
   readonly clock: Clock;
   readonly startedAt: number;
@@ -36,13 +35,13 @@
   readonly onShort: () => void;
 }
 
-/** Builds both sides of a way. */
-export interface QuotaWay {
+/** Creates both sides of a strategy. */
+export interface QuotaStrategy {
   ingress(options: IngressSideOptions): IngressSide;
   control(options: QuotaLedgerOptions, startedAt: number): ControlSide;
 }
 
-/** Counts what runs and what is offered here; the limit is what the way says. */
+/** Counts admitted and offered requests locally; subclasses define the local limit. */
 abstract class CountingIngress implements IngressSide {
   protected readonly used = new Map<string, SlidingCount>();
   protected readonly offered = new Map<string, SlidingCount>();
@@ -55,7 +54,7 @@
     const now = this.options.clock.now();
     this.countOf(this.offered, name).add(now);
     const used = this.countOf(this.used, name);
-    if (used.total(now) + 1 > this.limitHere(name, now)) {
+    if (used.total(now) + 1 > this.localLimit(name, now)) {
       listener(undefined);
       return;
     }
@@ -78,7 +77,7 @@
 
   abstract onGrants(grants: QuotaGrants, askedAt: number): void;
 
-  protected abstract limitHere(group: string, now: number): number;
+  protected abstract localLimit(group: string, now: number): number;
 
   private countOf(counts: Map<string, SlidingCount>, group: string): SlidingCount {
     const count = counts.get(group) ?? new SlidingCount(this.options.windowMs);
@@ -87,34 +86,36 @@
   }
 }
 
-/** The limit divided by the number of ingresses. */
-class EqualParts extends CountingIngress {
+/** Divides the limit by the number of ingresses. */
+class EqualShareIngress extends CountingIngress {
   onGrants(): void {
-    // Nothing is granted.
+    // The local limit does not depend on grants.
   }
 
-  protected limitHere(group: string): number {
+  protected localLimit(group: string): number {
     return (this.options.limitOf(group) ?? Infinity) / this.options.ingresses;
   }
 }
 
-/** The limit divided by what all ingresses together were offered at the last heartbeat; no commitments. */
-class Proportional extends CountingIngress {
+/**
+ * Divides the limit in proportion to the requests offered to all ingresses at the last heartbeat, without leases.
+ */
+class ProportionalIngress extends CountingIngress {
   private readonly totals = new Map<string, number>();
 
   onGrants({ grants }: QuotaGrants): void {
     for (const { group, allowance } of grants) this.totals.set(group, allowance);
   }
 
-  protected limitHere(group: string, now: number): number {
+  protected localLimit(group: string, now: number): number {
     const own = this.offered.get(group)?.total(now) ?? 0;
     const total = Math.max(this.totals.get(group) ?? 0, own);
     return ((this.options.limitOf(group) ?? Infinity) * own) / total;
   }
 }
 
-/** Tells each ingress what all of them together were offered. */
-class OfferedTotals implements ControlSide {
+/** Grants each ingress the total number of requests offered to all of them. */
+class OfferedTotalsControl implements ControlSide {
   private readonly reports = new Map<string, QuotaReport>();
 
   onReport(id: string, report: QuotaReport): QuotaGrants {
@@ -132,17 +133,17 @@
   }
 }
 
-export const QUOTA_WAYS: Readonly<Record<QuotaWayName, QuotaWay>> = {
+export const QUOTA_STRATEGIES: Readonly<Record<QuotaStrategyName, QuotaStrategy>> = {
   leases: {
     ingress: (options) => new IngressQuota(options),
     control: (options, startedAt) => new QuotaLedger(options, startedAt),
   },
   'equal-parts': {
-    ingress: (options) => new EqualParts(options),
-    control: () => new OfferedTotals(),
+    ingress: (options) => new EqualShareIngress(options),
+    control: () => new OfferedTotalsControl(),
   },
   proportional: {
-    ingress: (options) => new Proportional(options),
-    control: () => new OfferedTotals(),
+    ingress: (options) => new ProportionalIngress(options),
+    control: () => new OfferedTotalsControl(),
   },
 };
--- a/lab/simulator/sidecars/sidecar-world.ts
+++ b/lab/simulator/sidecars/sidecar-world.ts
@@ -1,58 +1,57 @@
 /**
- * Runs a call graph of sidecars in virtual time under a demand that varies, and counts what clients got. Owns clock,
- * random source and clients; control and its losses are left out. One seed gives one run.
+ * Runs a call graph of sidecars in virtual time under varying load and counts the results that clients see.
+ * A run is determined by its seed. Control replicas are not simulated.
  */
 import { exponential, SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
 import { ArrivalLedger } from './arrival-ledger.js';
 import type { CallGraph, SimRoute } from './call-graph.js';
 import { RequestLineage } from './request-lineage.js';
-import { SimSidecar, type SidecarNeighbours, type SimAnswer } from './sim-sidecar.js';
+import { SimSidecar, type SidecarEnvironment, type SimAnswer } from './sim-sidecar.js';
 import { NO_TARGET_FAULTS, type TargetFaults } from './sim-target-transport.js';
 
-/** A span of a run with its demand. */
+/** A phase of a run with its load. */
 export interface DemandPhase {
   readonly durationMs: number;
-  /** Multiple of the routes' usual demand. */
+  /** Multiple of the normal load of the routes. */
   readonly factor: number;
-  /** What targets do wrong meanwhile, by service. Default: nothing. */
+  /** Faults injected at targets during the phase, by service. Default: none. */
   readonly faults?: Readonly<Record<string, TargetFaults>>;
 }
 
-/** What the clients of one route got. */
+/** Results of the client requests of one route. */
 export interface RouteResult {
   sent: number;
-  /** Answered within the objective. */
+  /** Answered within the latency objective. */
   inTime: number;
-  /** Answered later, and before the deadline. */
+  /** Answered after the objective, before the deadline. */
   late: number;
   refused: number;
   failed: number;
 }
 
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 const STATUS_OK = 200;
 const STATUS_NOT_RUN = 503;
-/** A client heeds `Retry-After` for no more than this part of the time it has left. */
-const HEEDED_PART = 1 / 3;
-/** Zones of a graph that gives none. */
+/** Clients wait for `Retry-After` at most this fraction of their remaining time. */
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
 const DEFAULT_ZONES = 3;
-/** Time at the end of a run in which requests under way finish. */
+/** Time at the end of a run for requests in flight to complete. */
 const SETTLE_MS = 10_000;
 
-export class SidecarWorld implements SidecarNeighbours {
+export class SidecarWorld implements SidecarEnvironment {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   private readonly sidecars = new Map<string, SimSidecar>();
-  private readonly all: SimSidecar[] = [];
+  private readonly allSidecars: SimSidecar[] = [];
   private readonly routes: Map<string, SimRoute>;
   private results = new Map<string, RouteResult>();
-  private factor = 1;
+  private demandFactor = 1;
   private faults: Readonly<Record<string, TargetFaults>> = {};
-  private isOpen = true;
-  /** Attempts sent so far, and those of them that went to another zone. */
+  private isSendingRequests = true;
+  /** Number of attempts sent so far, and of those sent to another zone. */
   readonly attempts = { sent: 0, crossing: 0 };
-  /** What arrives at targets, seen from outside. */
+  /** Arrivals at targets, counted independently of the code under test. */
   readonly arrivals = new ArrivalLedger();
 
   constructor(graph: CallGraph, seed: number) {
@@ -61,12 +60,12 @@
     for (const service of graph.services) {
       for (let index = 0; index < service.targets; index += 1) {
         const factor = service.workFactors[index % service.workFactors.length]!;
-        const place = { index, zone: zoneOf(index, service.targets, graph.zones) };
-        this.add(new SimSidecar(this, service, place, factor));
+        const location = { index, zone: zoneOf(index, service.targets, graph.zones) };
+        this.add(new SimSidecar(this, service, location, factor));
       }
     }
-    const records = this.all.map((sidecar) => sidecar.record);
-    for (const sidecar of this.all) sidecar.update(records);
+    const records = this.allSidecars.map((sidecar) => sidecar.record);
+    for (const sidecar of this.allSidecars) sidecar.update(records);
   }
 
   route(name: string): SimRoute {
@@ -77,9 +76,9 @@
     return this.sidecars.get(id)!;
   }
 
-  /** Calls that all targets work on now. */
+  /** Number of calls in progress at all targets. */
   get running(): number {
-    return this.all.reduce((total, sidecar) => total + sidecar.running, 0);
+    return this.allSidecars.reduce((total, sidecar) => total + sidecar.running, 0);
   }
 
   onAttempt(crossesZones: boolean): void {
@@ -91,47 +90,47 @@
     return this.faults[service] ?? NO_TARGET_FAULTS;
   }
 
-  /** Starts a sidecar again in each interval, drawn by lot, as long as the run takes. */
+  /** Restarts a random sidecar at each interval until the run ends. */
   restartEvery(intervalMs: number): void {
     this.clock.schedule(intervalMs, () => {
-      if (!this.isOpen) return;
-      this.all[this.random.below(this.all.length)]!.restart();
+      if (!this.isSendingRequests) return;
+      this.allSidecars[this.random.below(this.allSidecars.length)]!.restart();
       this.restartEvery(intervalMs);
     });
   }
 
-  /** Runs the phases one after the other. @returns for each what clients got that began in it */
+  /** Runs the phases in sequence. @returns for each phase, the results by route of the requests started in it */
   run(phases: readonly DemandPhase[]): Map<string, RouteResult>[] {
     for (const each of this.routes.values()) {
       if (each.perSecond > 0) this.scheduleNext(each);
     }
     const results = phases.map((phase) => {
-      this.factor = phase.factor;
+      this.demandFactor = phase.factor;
       this.faults = phase.faults ?? {};
       this.results = new Map();
       this.clock.advance(phase.durationMs);
       return this.results;
     });
-    this.isOpen = false;
+    this.isSendingRequests = false;
     this.clock.advance(SETTLE_MS);
     return results;
   }
 
   private add(sidecar: SimSidecar): void {
     this.sidecars.set(sidecar.record.id, sidecar);
-    this.all.push(sidecar);
+    this.allSidecars.push(sidecar);
   }
 
   private scheduleNext(route: SimRoute): void {
-    const meanMs = MILLISECONDS / (route.perSecond * this.factor);
+    const meanMs = MS_PER_SECOND / (route.perSecond * this.demandFactor);
     this.clock.schedule(exponential(this.random, meanMs), () => {
-      if (!this.isOpen) return;
+      if (!this.isSendingRequests) return;
       this.scheduleNext(route);
-      this.begin(route);
+      this.sendRequest(route);
     });
   }
 
-  private begin(route: SimRoute): void {
+  private sendRequest(route: SimRoute): void {
     const result = this.resultOf(route.route.name);
     result.sent += 1;
     this.attempt(route, result, this.clock.now(), route.clientRetries);
@@ -139,7 +138,7 @@
 
   private attempt(route: SimRoute, result: RouteResult, startedAt: number, retries: number): void {
     const leftMs = startedAt + route.deadlineMs - this.clock.now();
-    const ingress = this.all[this.random.below(this.all.length)]!;
+    const ingress = this.allSidecars[this.random.below(this.allSidecars.length)]!;
     ingress.ingress(route, leftMs, new RequestLineage(false), (answer) =>
       this.onAnswer(route, result, startedAt, retries, answer),
     );
@@ -161,7 +160,7 @@
     const leftMs = route.deadlineMs - tookMs;
     const mayRepeat = route.route.repeatable || status === STATUS_NOT_RUN;
     if (retries > 0 && mayRepeat && leftMs > 0) {
-      const waitMs = Math.min(retryAfterSeconds * MILLISECONDS, leftMs * HEEDED_PART);
+      const waitMs = Math.min(retryAfterSeconds * MS_PER_SECOND, leftMs * MAX_RETRY_AFTER_FRACTION);
       this.clock.schedule(waitMs, () => this.attempt(route, result, startedAt, retries - 1));
       return;
     }
@@ -179,7 +178,7 @@
   }
 }
 
-/** @param zones blocks that the targets are divided into; undefined: they take turns */
+/** @param zones number of contiguous blocks; undefined assigns zones in rotation */
 function zoneOf(index: number, targets: number, zones: number | undefined): string {
   if (zones === undefined) return `zone-${index % DEFAULT_ZONES}`;
   return `zone-${Math.floor((index * zones) / targets)}`;
--- a/lab/simulator/sidecars/sim-target-work.ts
+++ b/lab/simulator/sidecars/sim-target-work.ts
@@ -1,13 +1,13 @@
 /**
- * A target at work on calls: its own work in equal parts, with the calls that it makes between them,
- * one after the other. A call that fails fails the work.
+ * Simulates the processing of one call at a target: equal steps of its own work with nested calls between them.
+ * The call fails if a nested call fails.
  */
 import type { Clock, Timer } from '../../../src/common/clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { Cancellable } from '../../model/cancellable.js';
 import type { SimRoute } from './call-graph.js';
 
-/** Sends a call that the target makes. `done` hears its status. */
+/** Sends a nested call of the target. `done` receives its status. */
 export type NestedSender = (
   route: string,
   deadlineMs: number,
@@ -17,24 +17,23 @@
 const STATUS_OK = 200;
 const STATUS_FAILED = 500;
 const STATUS_DEADLINE = 504;
-/** Spread of the work: a uniform factor between 1 - SPREAD and 1 + SPREAD. */
-const SPREAD = 0.5;
+/** Work time is multiplied by a uniform random factor between 1 - WORK_SPREAD and 1 + WORK_SPREAD. */
+const WORK_SPREAD = 0.5;
 
-/** One call that the target works on. */
 export class SimTargetWork implements Cancellable {
   private timer: Timer | undefined;
   private readonly deadlineTimer: Timer;
   private nestedCalls: Cancellable[] = [];
-  private unanswered = 0;
+  private pendingCallCount = 0;
   private isOver = false;
   private readonly calls: readonly string[];
-  /** Calls that are made at the same time. */
+  /** Number of nested calls sent in parallel after each step. */
   private readonly callsPerStep: number;
-  private readonly partMs: number;
+  private readonly stepMs: number;
   private readonly startedAt: number;
   private nextCall = 0;
 
-  /** @param deadlineMs time after which the target gives up */
+  /** @param deadlineMs time after which the call ends with status 504 */
   constructor(
     private readonly clock: Clock,
     random: RandomSource,
@@ -47,17 +46,16 @@
     this.calls = route.nested.flatMap((nested) =>
       Array.from({ length: nested.times }, () => nested.route),
     );
-    const spread = 1 - SPREAD + 2 * SPREAD * random.next();
+    const spread = 1 - WORK_SPREAD + 2 * WORK_SPREAD * random.next();
     const steps =
-      route.nestedTogether === true ? Math.min(1, this.calls.length) : this.calls.length;
+      route.nestedInParallel === true ? Math.min(1, this.calls.length) : this.calls.length;
     this.callsPerStep = steps === 0 ? 0 : this.calls.length / steps;
-    this.partMs = (route.workMs * workFactor * spread) / (steps + 1);
+    this.stepMs = (route.workMs * workFactor * spread) / (steps + 1);
     this.startedAt = clock.now();
     this.deadlineTimer = clock.schedule(deadlineMs, () => this.finish(STATUS_DEADLINE));
-    this.workOn();
+    this.scheduleStep();
   }
 
-  /** Whether the target is still at work on the call. */
   get isRunning(): boolean {
     return !this.isOver;
   }
@@ -66,18 +64,18 @@
     this.end();
   }
 
-  private workOn(): void {
-    this.timer = this.clock.schedule(this.partMs, () => this.onPartDone());
+  private scheduleStep(): void {
+    this.timer = this.clock.schedule(this.stepMs, () => this.onStepDone());
   }
 
-  private onPartDone(): void {
+  private onStepDone(): void {
     if (this.nextCall >= this.calls.length) {
       this.finish(STATUS_OK);
       return;
     }
     const routes = this.calls.slice(this.nextCall, this.nextCall + this.callsPerStep);
     this.nextCall += routes.length;
-    this.unanswered = routes.length;
+    this.pendingCallCount = routes.length;
     for (const route of routes) this.call(route);
   }
 
@@ -93,10 +91,10 @@
       this.finish(STATUS_FAILED);
       return;
     }
-    this.unanswered -= 1;
-    if (this.unanswered > 0) return;
+    this.pendingCallCount -= 1;
+    if (this.pendingCallCount > 0) return;
     this.nestedCalls = [];
-    this.workOn();
+    this.scheduleStep();
   }
 
   private finish(status: number): void {
