--- a/test/golden/replica-messages.test.ts
+++ b/test/golden/replica-messages.test.ts
@@ -153,10 +153,10 @@
 
 /** Keeps what a receiver hands on. */
 class RecordingHost {
-  readonly heard: { readonly to: string; readonly message: RaftMessage }[] = [];
+  readonly received: { readonly to: string; readonly message: RaftMessage }[] = [];
 
   receive(to: string, message: RaftMessage): void {
-    this.heard.push({ to, message });
+    this.received.push({ to, message });
   }
 }
 
@@ -210,7 +210,7 @@
       const bytes = goldenBytes(golden, name);
       const answer = await post(origin, '/internal/replication', headers, bytes);
       expect(answer, name).to.deep.equal({ status: 204, headers: [], body: Buffer.alloc(0) });
-      expect(host.heard.pop(), name).to.deep.equal({ to: TARGET_IDENTITY, message });
+      expect(host.received.pop(), name).to.deep.equal({ to: TARGET_IDENTITY, message });
     }
   });
 
@@ -228,7 +228,7 @@
     expect(await send('link-token-9876543210', bytes)).to.equal(401);
     expect(await send(LINK_TOKEN, Buffer.from('de0002a2', 'hex'))).to.equal(400);
     expect(await send(LINK_TOKEN, Buffer.alloc(0))).to.equal(400);
-    expect(host.heard).to.deep.equal([]);
+    expect(host.received).to.deep.equal([]);
   });
 });
 
@@ -238,14 +238,14 @@
   it('have the fields of golden ones, in the same order', () => {
     const cluster = new RaftCluster(['a', 'b', 'c']);
     const sent: RaftMessage[] = [];
-    listen(cluster, sent);
+    recordReceived(cluster, sent);
     const leader = cluster.electLeader();
     cluster.propose(leader, 'command');
     const follower = ['a', 'b', 'c'].find((name) => name !== leader)!;
     cluster.read(follower);
     cluster.clock.advance(SETTLE_MS);
     cluster.join('d');
-    listen(cluster, sent);
+    recordReceived(cluster, sent);
     cluster.clock.advance(JOIN_MS);
     cluster.node(leader).stop();
     cluster.clock.advance(SETTLE_MS);
@@ -272,7 +272,7 @@
   });
 
   /** Keeps what the nodes receive. */
-  function listen(cluster: RaftCluster, sent: RaftMessage[]): void {
+  function recordReceived(cluster: RaftCluster, sent: RaftMessage[]): void {
     for (const node of cluster.nodes.values()) {
       const receive = node.receive.bind(node);
       node.receive = (message) => {
--- a/test/pins/node-edge-lines.test.ts
+++ b/test/pins/node-edge-lines.test.ts
@@ -7,14 +7,14 @@
 
 const ANY_ADDRESS = '127.0.0.1:0';
 /** Nothing listens there. */
-const NOWHERE = 'http://127.0.0.1:1';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:1';
 const ORIGIN = /^http:\/\/127\.0\.0\.1:\d+$/;
 
 const COMMON = {
   id: 'pinned',
   zone: 'zone-a',
   admin: ANY_ADDRESS,
-  control: [NOWHERE],
+  control: [UNREACHABLE_ORIGIN],
   linkToken: 'test-link-token-0123456789',
   stop: { drainMs: 0, timeoutMs: 0 },
 };
@@ -28,7 +28,7 @@
         ...COMMON,
         ...addresses,
         service: 'ledger',
-        target: { origin: NOWHERE },
+        target: { origin: UNREACHABLE_ORIGIN },
       });
       const node = await startNode(settings, captured.logger);
       await node.stop();
--- a/test/pins/quarantine-lines.test.ts
+++ b/test/pins/quarantine-lines.test.ts
@@ -12,7 +12,7 @@
 const WARN = 40;
 const TEN_MINUTES_MS = 600_000;
 /** Longer than control waits for gates that have seen a suspect end well. */
-const HEARING_MS = 1_000;
+const ACQUITTAL_WAIT_MS = 1_000;
 const FINGERPRINT = '0123456789abcdef0123-01234567';
 /** Bound of the quarantines in the store. */
 const MAX_QUARANTINES = 256;
@@ -56,7 +56,7 @@
 
   /** Gives gates their hearing, then looks at the evidence some times, as the program does, and lets each look write. */
   async function check(): Promise<void> {
-    clock.advance(HEARING_MS);
+    clock.advance(ACQUITTAL_WAIT_MS);
     for (let look = 0; look < 3; look += 1) {
       keeper.check();
       for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
--- a/test/support/calling-targets.ts
+++ b/test/support/calling-targets.ts
@@ -19,7 +19,7 @@
 const DEADLINE_MS = 5_000;
 const BODY = 'whole';
 /** Calls after which sidecars know that only targets make calls of this route. */
-const CALLS_TO_LEARN = 80;
+const WARM_UP_CALLS = 80;
 
 /** One call that the front target made. */
 export interface MadeCall {
@@ -66,7 +66,7 @@
     const reports = setInterval(() => void report(), REPORT_INTERVAL_MS);
     cleanup.add(() => clearInterval(reports));
     await until(async () => (await targets.ask('/front/')) === STATUS_OK);
-    await targets.teach();
+    await targets.warmUp();
     return targets;
   }
 
@@ -171,8 +171,8 @@
   }
 
   /** Makes calls until sidecars know who makes them. */
-  private async teach(): Promise<void> {
-    this.callsPerRun = CALLS_TO_LEARN;
+  private async warmUp(): Promise<void> {
+    this.callsPerRun = WARM_UP_CALLS;
     await this.ask('/front/');
     this.calls.length = 0;
     this.arrived.clear();
--- a/test/support/captured-lines.ts
+++ b/test/support/captured-lines.ts
@@ -33,7 +33,7 @@
   ) {
     this.logger = createLogger(program, processId, 'info');
     captures.add(this);
-    restoreOutput ??= divertOutput();
+    restoreOutput ??= interceptStdout();
   }
 
   get lines(): CapturedLine[] {
@@ -65,17 +65,17 @@
 }
 
 /** Hands lines of the loggers to their captures, and lets everything else through. */
-function divertOutput(): () => void {
+function interceptStdout(): () => void {
   const write = process.stdout.write.bind(process.stdout);
   const divert = (chunk: string | Uint8Array, ...rest: never[]): boolean =>
-    isTaken(String(chunk)) || write(chunk, ...rest);
+    isCaptured(String(chunk)) || write(chunk, ...rest);
   process.stdout.write = divert;
   return () => {
     process.stdout.write = write;
   };
 }
 
-function isTaken(text: string): boolean {
+function isCaptured(text: string): boolean {
   if (!text.startsWith(LINE_START)) return false;
   const record = JSON.parse(text) as CapturedLine;
   const capture = [...captures].find(({ processId }) => processId === record.processId);
--- a/test/support/make-data-folder.ts
+++ b/test/support/make-data-folder.ts
@@ -28,7 +28,7 @@
 const STEPS_FILE = 'test/fixtures/data-folder-steps.json';
 const ACTOR = 'operator';
 
-async function take(replica: StoredReplica, step: Step): Promise<unknown> {
+async function applyStep(replica: StoredReplica, step: Step): Promise<unknown> {
   switch (step.type) {
     case 'propose':
       return replica.log.propose(step.command as Parameters<typeof replica.log.propose>[0]);
@@ -50,7 +50,7 @@
   replica.host.start();
   await until(() => replica.isCaughtUp);
   for (const step of steps) {
-    const result = await take(replica, step);
+    const result = await applyStep(replica, step);
     process.stdout.write(`${JSON.stringify(result) ?? 'done'}\n`);
     await until(() => replica.isCaughtUp);
   }
