--- a/test/pins/internal-protocol.test.ts
+++ b/test/pins/internal-protocol.test.ts
@@ -14,14 +14,14 @@
 import { answerTo, JSON_TYPE, problemAnswer, PROBLEM_TYPE } from '../support/whole-answer.js';
 
 const ANY_ADDRESS = '127.0.0.1:0';
-const NOWHERE = 'http://127.0.0.1:1';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:1';
 const TEXT = { 'content-type': 'text/plain; charset=utf-8' };
 const STOP = { drainMs: 0, timeoutMs: 0 };
 const COMMON = {
   id: 'pinned',
   zone: 'zone-a',
   admin: ANY_ADDRESS,
-  control: [NOWHERE],
+  control: [UNREACHABLE_ORIGIN],
   linkToken: LONE_LINK_TOKEN,
   stop: STOP,
 };
@@ -178,7 +178,7 @@
       service: 'ledger',
       inbound: ANY_ADDRESS,
       outbound: ANY_ADDRESS,
-      target: { origin: NOWHERE },
+      target: { origin: UNREACHABLE_ORIGIN },
     });
     await expectPages(await started(startNode(settings, SILENT_LOGGER)), 'no policy yet');
   });
@@ -210,7 +210,7 @@
   });
 
   it('are these for a sidecar, which refuses requests until then', async () => {
-    const settings = sidecarSettings(NOWHERE, { stop: STOP });
+    const settings = sidecarSettings(UNREACHABLE_ORIGIN, { stop: STOP });
     const sidecar = await started(startSidecar(settings, SILENT_LOGGER));
     await expectPages(sidecar, 'no configuration yet');
     const headers = { 'x-request-id': 'q-1' };
@@ -239,7 +239,7 @@
   let origin: string;
 
   before(async () => {
-    const settings = sidecarSettings(NOWHERE, { stop: STOP });
+    const settings = sidecarSettings(UNREACHABLE_ORIGIN, { stop: STOP });
     const sidecar = await startSidecar(settings, SILENT_LOGGER);
     cleanup.add(() => sidecar.stop());
     origin = sidecar.origins.registration!;
