--- a/test/pins/internal-protocol.test.ts
+++ b/test/pins/internal-protocol.test.ts
@@ -1,4 +1,4 @@
-/** The messages between a follower and control, and the pages that every program serves: paths, statuses, field names. */
+/** Pins the messages between a follower and control, and every program's HTTP pages: paths, statuses, field names. */
 import { expect } from 'chai';
 import { pack, unpack } from 'msgpackr';
 import { request } from 'undici';
@@ -14,14 +14,14 @@
 import { answerTo, JSON_TYPE, problemAnswer, PROBLEM_TYPE } from '../support/whole-answer.js';
 
 const ANY_ADDRESS = '127.0.0.1:0';
-const NOWHERE = 'http://127.0.0.1:1';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:1';
 const TEXT = { 'content-type': 'text/plain; charset=utf-8' };
 const STOP = { drainMs: 0, timeoutMs: 0 };
 const COMMON = {
   id: 'pinned',
   zone: 'zone-a',
   admin: ANY_ADDRESS,
-  control: [NOWHERE],
+  control: [UNREACHABLE_ORIGIN],
   linkToken: LONE_LINK_TOKEN,
   stop: STOP,
 };
@@ -79,7 +79,7 @@
 
   it('answers a heartbeat', async () => {
     let reply: Record<string, unknown> = {};
-    // A leader confirms some milliseconds after it is one.
+    // A new leader confirms its leadership a few milliseconds after its election.
     await until(async () => {
       const { status, type, bytes } = await post('/internal/heartbeat', pack(HEARTBEAT));
       expect({ status, type }).to.deep.equal({ status: 200, type: 'application/msgpack' });
@@ -178,7 +178,7 @@
       service: 'ledger',
       inbound: ANY_ADDRESS,
       outbound: ANY_ADDRESS,
-      target: { origin: NOWHERE },
+      target: { origin: UNREACHABLE_ORIGIN },
     });
     await expectPages(await started(startNode(settings, SILENT_LOGGER)), 'no policy yet');
   });
@@ -210,7 +210,7 @@
   });
 
   it('are these for a sidecar, which refuses requests until then', async () => {
-    const settings = sidecarSettings(NOWHERE, { stop: STOP });
+    const settings = sidecarSettings(UNREACHABLE_ORIGIN, { stop: STOP });
     const sidecar = await started(startSidecar(settings, SILENT_LOGGER));
     await expectPages(sidecar, 'no configuration yet');
     const headers = { 'x-request-id': 'q-1' };
@@ -239,7 +239,7 @@
   let origin: string;
 
   before(async () => {
-    const settings = sidecarSettings(NOWHERE, { stop: STOP });
+    const settings = sidecarSettings(UNREACHABLE_ORIGIN, { stop: STOP });
     const sidecar = await startSidecar(settings, SILENT_LOGGER);
     cleanup.add(() => sidecar.stop());
     origin = sidecar.origins.registration!;
--- a/test/pins/node-edge-lines.test.ts
+++ b/test/pins/node-edge-lines.test.ts
@@ -1,4 +1,4 @@
-/** Lines that a node and an edge write from start to stop, literally but for their addresses. */
+/** Pins the log lines of a node and an edge from start to stop, except for their addresses. */
 import { expect } from 'chai';
 import { startEdge } from '../../src/programs/edge-program.js';
 import { startNode } from '../../src/programs/node-program.js';
@@ -6,15 +6,14 @@
 import { CapturedLines } from '../support/captured-lines.js';
 
 const ANY_ADDRESS = '127.0.0.1:0';
-/** Nothing listens there. */
-const NOWHERE = 'http://127.0.0.1:1';
+const UNREACHABLE_ORIGIN = 'http://127.0.0.1:1';
 const ORIGIN = /^http:\/\/127\.0\.0\.1:\d+$/;
 
 const COMMON = {
   id: 'pinned',
   zone: 'zone-a',
   admin: ANY_ADDRESS,
-  control: [NOWHERE],
+  control: [UNREACHABLE_ORIGIN],
   linkToken: 'test-link-token-0123456789',
   stop: { drainMs: 0, timeoutMs: 0 },
 };
@@ -28,7 +27,7 @@
         ...COMMON,
         ...addresses,
         service: 'ledger',
-        target: { origin: NOWHERE },
+        target: { origin: UNREACHABLE_ORIGIN },
       });
       const node = await startNode(settings, captured.logger);
       await node.stop();
