--- a/lab/check/random-scenario.ts
+++ b/lab/check/random-scenario.ts
@@ -1,6 +1,6 @@
 /**
- * A random scenario from a seed: load and faults at any moment, together or twice. Pure; the scenario of a seed stays
- * the same as long as the built-in deployments do.
+ * Generates a random scenario from a seed: one load surge and a few faults, which may overlap or hit the same target.
+ * The result depends only on the seed and the built-in deployments.
  */
 import { SeededRandom, type RandomSource } from '../../src/common/random.js';
 import { loadDeployment } from '../model/load-deployment.js';
@@ -76,7 +76,7 @@
   }),
 ];
 
-/** The scenario of a seed. */
+/** Generates the scenario of a seed. */
 export function randomScenario(seed: number): Scenario {
   const random = new SeededRandom(seed);
   const name = pick(random, DEPLOYMENTS);
--- a/lab/check/run-check.ts
+++ b/lab/check/run-check.ts
@@ -1,6 +1,6 @@
 /**
- * Random fault schedules against the promises: many seeds, each failure shrunk and replayable. Relies on the
- * experiment for calls and on the control simulator for configuration.
+ * Runs random fault schedules for a range of seeds and checks the promises. For each failing seed it prints the
+ * command that replays it; a failing call scenario is also reduced to a smaller schedule that still fails.
  */
 import { stringify } from 'yaml';
 import { PROMISE_IDS, type PromiseId, type Violation } from '../experiment/promises.js';
@@ -15,9 +15,9 @@
 import { randomScenario } from './random-scenario.js';
 import { shrinkScenario } from './shrink.js';
 
-/** Checked on the control plane's own simulator. */
+/** Checked with the simulator of configuration replication, not with simulated calls. */
 const CONFIGURATION_PROMISE = 'config-forward';
-/** Everything that can be checked. */
+/** All promises that the `check` command accepts. */
 export const CHECKED_PROMISES: readonly string[] = [...PROMISE_IDS, CONFIGURATION_PROMISE];
 
 const REPLICATION_FAULT_MS = 8_000;
@@ -26,20 +26,20 @@
 export interface CheckOptions {
   readonly firstSeed: number;
   readonly seeds: number;
-  /** Only this promise; all when undefined. */
+  /** The only promise to check; all promises when undefined. */
   readonly promise: string | undefined;
-  /** Lab-only switches. */
+  /** Overrides of mechanisms that only the lab can switch off. */
   readonly mechanisms: Partial<Mechanisms>;
   readonly print: (line: string) => void;
 }
 
-/** How many seeds passed and failed. */
+/** Numbers of seeds that passed and failed. */
 export interface CheckResult {
   readonly passed: number;
   readonly failed: number;
 }
 
-/** Runs the seeds. */
+/** Checks each seed, prints the failures and a total. */
 export function runCheck(options: CheckOptions): CheckResult {
   let failed = 0;
   for (let seed = options.firstSeed; seed < options.firstSeed + options.seeds; seed += 1) {
--- a/lab/check/shrink.ts
+++ b/lab/check/shrink.ts
@@ -1,11 +1,11 @@
-/** Makes a failing scenario smaller: leaves out faults and load phases as long as it still fails. */
+/** Reduces a failing scenario: removes faults and load phases one at a time while it still fails. */
 import type { Scenario } from '../experiment/scenario.js';
 
 function without<Item>(items: readonly Item[], index: number): Item[] {
   return items.filter((_, at) => at !== index);
 }
 
-/** Scenarios with one fault or load phase fewer. */
+/** Returns every scenario that has one fault or load phase fewer. */
 function smaller(scenario: Scenario): Scenario[] {
   return [
     ...scenario.faults.map((_, index) => ({
@@ -16,7 +16,10 @@
   ];
 }
 
-/** @param fails whether a scenario still shows the failure */
+/**
+ * Returns a scenario that still fails and from which no single fault or load phase can be removed.
+ * @param fails whether a scenario still reproduces the failure
+ */
 export function shrinkScenario(
   scenario: Scenario,
   fails: (scenario: Scenario) => boolean,
--- a/lab/model/backend-model.ts
+++ b/lab/model/backend-model.ts
@@ -1,46 +1,46 @@
 /**
- * A stand-in back end: slots, service times, nested calls, shedding, cold start, slowness. Pure, so
- * that the process and the simulator run the same one.
+ * Model of a back end: a fixed number of slots, a queue, random service times, nested calls, load shedding, cold
+ * start and slowdown. Does no I/O of its own, so that real processes and the simulator share it.
  */
 import type { Clock, Timer } from '../../src/common/clock.js';
 import { exponential, type RandomSource } from '../../src/common/random.js';
 import type { HandlerModel, NestedCallModel, ServiceModel } from './deployment.js';
 import type { Cancellable } from './cancellable.js';
 
-/** A request that reached a back end. */
+/** A request received by a back end. */
 export interface BackendRequest {
-  /** Names the logical request; the same in every attempt. */
+  /** Id of the logical request; the same for all its attempts. */
   readonly labId: string;
   readonly method: string;
   readonly path: string;
-  /** Monotonic milliseconds; the back end gives up after it. */
+  /** Deadline in monotonic milliseconds. */
   readonly deadlineAt: number;
 }
 
-/** Makes a nested call. Calls back once with the status, 0 for a broken connection. */
+/** Makes a nested call. Invokes `done` once with the HTTP status, or 0 for a broken connection. */
 export type NestedCaller = (
   call: NestedCallModel,
   labId: string,
   done: (status: number) => void,
 ) => Cancellable;
 
-/** Hears the answer of the back end, once. */
+/** Receives the back end's response, once. */
 export type BackendListener = (status: number, responseBytes: number) => void;
 
-/** What a back end keeps of one execution, for checks from outside. */
+/** Record of one execution, from which the promises are checked. */
 export interface ExecutionRecord {
   readonly labId: string;
   readonly method: string;
   readonly path: string;
-  /** Monotonic milliseconds at which the work began. */
+  /** Start of the work, in monotonic milliseconds. */
   readonly startedAt: number;
 }
 
-/** How a cold back end behaves. */
+/** Parameters of a cold start. */
 export interface ColdStart {
-  /** Work takes this many times longer at first. */
+  /** Factor by which work is slower at the beginning. */
   readonly factor: number;
-  /** The extra time shrinks to nothing over this time. */
+  /** Time over which the factor falls linearly to 1. */
   readonly durationMs: number;
 }
 
@@ -48,16 +48,16 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_BAD_GATEWAY = 502;
 const STATUS_UNAVAILABLE = 503;
-/** Part of the work that is the same every time; the rest is exponential. */
+/** Fraction of the service time that is constant; the rest is exponentially distributed. */
 const FIXED_WORK_FRACTION = 0.5;
 
-/** One request inside the back end. */
+/** One request that is queued or running in the back end. */
 export class BackendCall {
   private timer: Timer | undefined;
   private nested: Cancellable | undefined;
   private finished = false;
   holdsSlot = false;
-  /** Start of the back end's process that this call belongs to. */
+  /** Value of {@link BackendModel.generation} when the call arrived. */
   readonly generation: number;
 
   constructor(
@@ -69,7 +69,7 @@
     this.generation = backend.generation;
   }
 
-  /** The caller went away: the back end stops working on the request. */
+  /** Stops the work on the request because its caller has cancelled it. */
   cancel(): void {
     if (this.finished) return;
     this.finished = true;
@@ -78,7 +78,7 @@
     this.backend.leave(this);
   }
 
-  /** A slot is free: do the work, then the nested calls, then answer. */
+  /** Occupies a slot: does the handler's own work, then the nested calls, then responds. */
   run(): void {
     this.holdsSlot = true;
     const workMs = this.backend.drawWork(this.handler);
@@ -107,12 +107,12 @@
 }
 
 export class BackendModel {
-  /** What ran here. */
+  /** All executions since the model was created, across restarts. */
   readonly executions: ExecutionRecord[] = [];
   private readonly waiting: BackendCall[] = [];
   private busy = 0;
   private slowFactor = 1;
-  /** Counts starts of the process. */
+  /** Number of restarts; calls of an earlier generation no longer affect the slots. */
   generation = 0;
   private cold: ColdStart | undefined;
   private coldSince = 0;
@@ -125,7 +125,7 @@
     private readonly onExecution: (record: ExecutionRecord) => void = () => undefined,
   ) {}
 
-  /** Makes all work take `factor` times as long. */
+  /** Sets the factor by which all work is slowed down; 1 is normal speed. */
   setSlowFactor(factor: number): void {
     this.slowFactor = factor;
   }
@@ -136,7 +136,10 @@
     this.coldSince = this.clock.now();
   }
 
-  /** Takes a request. The listener may hear the answer before this returns. */
+  /**
+   * Queues or runs a request. The listener may be called before this returns.
+   * @returns undefined when the request was answered at once: no matching handler, or the queue is full
+   */
   accept(request: BackendRequest, listener: BackendListener): BackendCall | undefined {
     const handler = this.service.handlers.find(
       (candidate) => candidate.method === request.method && request.path.startsWith(candidate.path),
@@ -155,7 +158,7 @@
     return call;
   }
 
-  /** The process starts again with nothing inside. A slow service stays slow. */
+  /** Simulates a restart: drops all calls and ends a cold start. A slow factor stays in effect. */
   reset(): void {
     this.waiting.length = 0;
     this.busy = 0;
@@ -163,7 +166,7 @@
     this.generation += 1;
   }
 
-  /** A call has ended or was cancelled. */
+  /** Removes a call that has ended or was cancelled, and starts the next one. */
   leave(call: BackendCall): void {
     if (call.generation !== this.generation) return;
     if (call.holdsSlot) this.busy -= 1;
@@ -174,7 +177,7 @@
     this.dispatch();
   }
 
-  /** Draws the time of one handler's work. */
+  /** Draws a service time for the handler's own work, in milliseconds. */
   drawWork(handler: HandlerModel): number {
     const fixed = FIXED_WORK_FRACTION * handler.workMs;
     const varying = exponential(this.random, (1 - FIXED_WORK_FRACTION) * handler.workMs);
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -1,7 +1,6 @@
 /**
- * The lab's callers: requests arrive at random at a rate that does not wait for answers, and callers
- * retry hard, resend with the same key, give up and hang up. Pure, so that the process and the
- * simulator run the same one.
+ * Model of the callers: an open-loop load generator with Poisson arrivals, whose callers retry with the same
+ * idempotency key, time out and hang up. Does no I/O of its own, so that real processes and the simulator share it.
  */
 import type { Clock, Timer } from '../../src/common/clock.js';
 import { exponential, type RandomSource } from '../../src/common/random.js';
@@ -10,21 +9,21 @@
 import { apiKeyOf, type DemandModel } from './deployment.js';
 import type { Cancellable } from './cancellable.js';
 
-/** How callers behave. */
+/** Parameters of the callers' retries, timeouts and cancellations. */
 export interface CallerBehaviour {
-  /** Longest time that a caller waits for one attempt, in milliseconds. */
+  /** Timeout of one attempt, in milliseconds. */
   readonly patienceMs: number;
-  /** Attempts of one request, the first included. */
+  /** Maximum number of attempts of a request, including the first. */
   readonly maxAttempts: number;
-  /** Mean pause before trying again when the answer's `Retry-After` is ignored. */
+  /** Mean pause before a retry that does not honour `Retry-After`, in milliseconds. */
   readonly retryPauseMs: number;
-  /** Fraction of refused requests whose callers come back when `Retry-After` says. */
+  /** Fraction of responses with `Retry-After` whose callers wait at least that long before the retry. */
   readonly honourRetryAfter: number;
-  /** Fraction of attempts whose callers hang up before the answer. */
+  /** Fraction of attempts that the caller cancels before the response. */
   readonly hangUp: number;
 }
 
-/** Callers that retry hard, most of them without regard to what they are told. Scenarios have these by default. */
+/** Default behaviour in scenarios: aggressive retries, most of which ignore `Retry-After`. */
 export const HARD_RETRIES: CallerBehaviour = {
   patienceMs: 2_000,
   maxAttempts: 4,
@@ -33,7 +32,7 @@
   hangUp: 0.002,
 };
 
-/** One attempt as sent to an edge. */
+/** An attempt that is sent to an edge. */
 export interface CallerAttempt {
   readonly labId: string;
   readonly method: string;
@@ -43,42 +42,42 @@
   readonly timeoutMs: number;
 }
 
-/** What came back. */
+/** The outcome of an attempt. */
 export interface AttemptAnswer {
-  /** HTTP status, or 0 when the connection broke or the caller's patience ended. */
+  /** HTTP status, or 0 when the connection broke or the attempt timed out. */
   readonly status: number;
   readonly verdict: Verdict | undefined;
   readonly retryAfterSeconds: number;
   readonly check: AnswerCheck | undefined;
 }
 
-/** Sends attempts. */
+/** Sends an attempt; `done` receives its outcome. */
 export type AttemptSender = (
   attempt: CallerAttempt,
   done: (answer: AttemptAnswer) => void,
 ) => Cancellable;
 
-/** How a request ended for its caller. */
+/** The final result of a request, as seen by its caller. */
 export type RequestResult = 'completed' | 'refused' | 'failed' | 'hung-up';
 
-/** What is kept of one request. */
+/** Record of one request over all its attempts. */
 export interface RequestRecord {
   readonly labId: string;
   readonly group: string;
   readonly kind: string;
   readonly idempotent: boolean;
-  /** Monotonic milliseconds of the first attempt. */
+  /** Start of the first attempt, in monotonic milliseconds. */
   readonly startedAt: number;
   endedAt: number;
   attempts: number;
   result: RequestResult | undefined;
-  /** Whether every attempt came back as `not-run`. */
+  /** Whether every attempt ended with the verdict `not-run`. */
   toldNotRun: boolean;
-  /** Set when an answer was not the whole answer to this request. */
+  /** Set when a response was incomplete or belonged to another request. */
   wrongAnswer: AnswerCheck | undefined;
 }
 
-/** Multiplies the usual rate of a demand at a time. */
+/** Returns the factor applied to a demand's normal rate at the given time. */
 export type RateFactor = (demand: DemandModel, now: number) => number;
 
 const STATUS_OK = 200;
@@ -86,7 +85,7 @@
 const MIN_FACTOR = 1e-6;
 const IDLE_CHECK_MS = 50;
 
-/** Reads a verdict header. */
+/** Parses a verdict header; undefined when it is missing or unknown. */
 export function readVerdict(text: string | undefined): Verdict | undefined {
   return isVerdict(text) ? text : undefined;
 }
@@ -106,27 +105,29 @@
     private readonly send: AttemptSender,
   ) {}
 
-  /** Begins to send. */
+  /** Starts to send requests. */
   start(): void {
     const now = this.clock.now();
     this.demands.forEach((demand, index) => this.scheduleNext(demand, index, now));
   }
 
-  /** Sends no new requests; those under way still end. */
+  /** Stops sending new requests; those in flight are completed. */
   stop(): void {
     this.stopped = true;
     for (const timer of this.timers) timer.cancel();
   }
 
   /**
-   * @param since when the last request was due: counted from there, late timers don't lower the rate
+   * Schedules the next request of a demand.
+   * @param since when the previous request was due. Intervals start there, so that late timers don't lower the rate.
    */
   private scheduleNext(demand: DemandModel, index: number, since: number): void {
     if (this.stopped) return;
     const rate = demand.rate * this.rateFactor(demand, this.clock.now());
     const active = rate > MIN_FACTOR;
     const delayMs = active ? exponential(this.random, 1_000 / rate) : IDLE_CHECK_MS;
-    // A rate may rise meanwhile, so long pauses are drawn anew: exponential times have no memory.
+    // A long interval is cut short and drawn again, so that a change of the rate takes effect soon. This keeps the
+    // arrival process, because the exponential distribution is memoryless.
     const bounded = Math.min(delayMs, IDLE_CHECK_MS);
     const dueAt = since + bounded;
     this.timers[index] = this.clock.schedule(dueAt - this.clock.now(), () => {
--- a/lab/model/cancellable.ts
+++ b/lab/model/cancellable.ts
@@ -1,5 +1,5 @@
-/** Something under way that can be withdrawn: a request, a call, or the work on one. */
+/** An operation in progress that can be cancelled. */
 export interface Cancellable {
-  /** Withdraws it. Harmless when it is over. */
+  /** Cancels the operation. Has no effect once it has ended. */
   cancel(): void;
 }
--- a/lab/model/deployment.ts
+++ b/lab/model/deployment.ts
@@ -1,7 +1,6 @@
 /**
- * A deployment of the lab: zones and their latencies, services with their targets and handlers, and
- * the callers' usual demand. Read from `lab/deployments/*.yaml`; docs/reference/lab-files.md
- * describes each field.
+ * Schema of a lab deployment (`lab/deployments/*.yaml`): zones and latencies, services with their targets and
+ * handlers, and the callers' normal demand. docs/reference/lab-files.md describes each field.
  */
 import { z } from 'zod';
 import { nameSchema } from '../../src/policy/resource-schema.js';
@@ -18,11 +17,11 @@
 
 const handlerSchema = z.strictObject({
   method: methodSchema,
-  /** Prefix of the paths that this handler serves. */
+  /** Path prefix that this handler serves. */
   path: z.string().startsWith('/'),
-  /** Mean time of the handler's own work, in milliseconds, without nested calls. */
+  /** Mean time of the handler's own work without nested calls, in milliseconds. */
   workMs: positive,
-  /** Calls to other services, made one after the other while the slot is held. */
+  /** Calls to other services, made sequentially while the slot is occupied. */
   calls: z.array(nestedCallSchema).default([]),
   responseBytes: z.number().int().min(0).max(16_777_216).default(200),
 });
@@ -32,9 +31,9 @@
   targets: z.number().int().min(1).max(1_000),
   slots: z.number().int().min(1).max(10_000),
   connections: z.number().int().min(1).max(100_000).default(120),
-  /** Calls that may wait inside a target before it sheds with 503. */
+  /** Maximum length of a target's queue; further requests are answered with 503. */
   shedAbove: z.number().int().min(0).max(100_000).default(200),
-  /** Whether targets pass the trace context on to nested calls. */
+  /** Whether targets propagate the trace context to nested calls. */
   passesContext: z.boolean().default(true),
   handlers: z.array(handlerSchema).min(1),
 });
@@ -43,9 +42,9 @@
   group: nameSchema,
   kind: nameSchema,
   method: methodSchema,
-  /** `{n}` is replaced by a number that differs for each request. */
+  /** `{n}` is replaced by an id that is unique to each request. */
   path: z.string().startsWith('/'),
-  /** Requests a second in ordinary times. */
+  /** Normal rate, in requests per second. */
   rate: z.number().min(0).max(1_000_000),
   /** Whether the caller sends an idempotency key. */
   idempotencyKey: z.boolean().default(false),
@@ -55,9 +54,9 @@
 export const deploymentSchema = z.strictObject({
   name: nameSchema,
   zones: z.array(nameSchema).min(1),
-  /** One-way latency between two zones. */
+  /** One-way latency between two zones, in milliseconds. */
   zoneLatencyMs: milliseconds,
-  /** One-way latency between callers and edges. */
+  /** One-way latency between callers and edges, in milliseconds. */
   clientLatencyMs: milliseconds,
   services: z.array(serviceSchema).min(1),
   demand: z.array(demandSchema).min(1),
@@ -71,15 +70,15 @@
 export type NestedCallModel = HandlerModel['calls'][number];
 export type DemandModel = Deployment['demand'][number];
 
-/** A target of a deployment and where it stands. */
+/** A target of a deployment and its zone. */
 export interface TargetPlacement {
-  /** Name of the node beside the target, such as `buchwerk-2`. */
+  /** Id of the target's node, such as `buchwerk-2`. */
   readonly nodeId: string;
   readonly service: ServiceModel;
   readonly zone: string;
 }
 
-/** Places the targets of every service in the zones, in turn. */
+/** Assigns the targets of every service to the zones, round-robin. */
 export function placeTargets(deployment: Deployment): TargetPlacement[] {
   return deployment.services.flatMap((service, serviceIndex) =>
     Array.from({ length: service.targets }, (_, index) => ({
@@ -90,7 +89,7 @@
   );
 }
 
-/** The API key that the lab's callers of a group present. */
+/** Returns the API key that a group's callers send. */
 export function apiKeyOf(group: string): string {
   return `lab-key-of-${group}`;
 }
--- a/lab/model/load-deployment.ts
+++ b/lab/model/load-deployment.ts
@@ -1,4 +1,4 @@
-/** Reads a deployment file, or one of the built-in deployments by name. */
+/** Loads a built-in deployment by name, or a deployment file. */
 import { existsSync } from 'node:fs';
 import { dirname, resolve } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -6,21 +6,21 @@
 import { readYamlFile } from '../../src/settings/load-settings.js';
 import { deploymentSchema, type Deployment } from './deployment.js';
 
-/** Built-in deployments live in the sources, next to their declarations. */
+/** In the source tree: the build does not copy the deployments and their declarations. */
 const BUILT_IN_FOLDER = fileURLToPath(new URL('../../../lab/deployments/', import.meta.url));
 
-/** A deployment and where it came from. */
+/** A deployment and the files that it was loaded from. */
 export interface LoadedDeployment {
   readonly deployment: Deployment;
   readonly file: string;
-  /** Folder with its declarations. */
+  /** Absolute path of the folder with the declarations. */
   readonly declarations: string;
 }
 
 /**
  * Loads a deployment.
- * @param nameOrFile `ratenwerk`, `hanoi`, or a file
- * @throws ValidationError naming every fault
+ * @param nameOrFile name of a built-in deployment, such as `ratenwerk`, or the path of a file
+ * @throws ValidationError listing all invalid fields
  */
 export function loadDeployment(nameOrFile: string): LoadedDeployment {
   const builtIn = resolve(BUILT_IN_FOLDER, `${nameOrFile}.yaml`);
