--- a/lab/check/random-scenario.ts
+++ b/lab/check/random-scenario.ts
@@ -9,8 +9,8 @@
 
 const DEPLOYMENTS = ['ratenwerk', 'hanoi'] as const;
 const DURATION_MS = 14_000;
-const FAULTS_FROM_MS = 2_000;
-const FAULTS_TO_MS = 8_000;
+const FIRST_FAULT_MS = 2_000;
+const LAST_FAULT_MS = 8_000;
 const MAX_FAULT_MS = 3_000;
 const MAX_FAULTS = 4;
 const MAX_LIST_DELAY_MS = 5_000;
@@ -19,10 +19,10 @@
 const MAX_EXTRA_LATENCY_MS = 200;
 const DIRECTIONS = ['both', 'inbound', 'outbound'] as const;
 
-type FaultMaker = (random: RandomSource, deployment: Deployment) => Fault;
+type FaultGenerator = (random: RandomSource, deployment: Deployment) => Fault;
 
-function timing(random: RandomSource): { atMs: number; forMs: number } {
-  const atMs = FAULTS_FROM_MS + random.below(FAULTS_TO_MS - FAULTS_FROM_MS);
+function randomTiming(random: RandomSource): { atMs: number; forMs: number } {
+  const atMs = FIRST_FAULT_MS + random.below(LAST_FAULT_MS - FIRST_FAULT_MS);
   return { atMs, forMs: 50 + random.below(MAX_FAULT_MS) };
 }
 
@@ -30,49 +30,49 @@
   return items[random.below(items.length)]!;
 }
 
-function anyTarget(random: RandomSource, deployment: Deployment): string {
+function randomTarget(random: RandomSource, deployment: Deployment): string {
   return pick(random, placeTargets(deployment)).nodeId;
 }
 
-const FAULT_MAKERS: readonly FaultMaker[] = [
+const FAULT_GENERATORS: readonly FaultGenerator[] = [
   (random, deployment) => ({
     type: 'kill',
-    target: anyTarget(random, deployment),
-    ...timing(random),
+    target: randomTarget(random, deployment),
+    ...randomTiming(random),
   }),
   (random, deployment) => ({
     type: 'freeze',
-    target: anyTarget(random, deployment),
-    ...timing(random),
+    target: randomTarget(random, deployment),
+    ...randomTiming(random),
   }),
   (random, deployment) => ({
     type: 'cut',
-    target: anyTarget(random, deployment),
+    target: randomTarget(random, deployment),
     direction: pick(random, DIRECTIONS),
-    ...timing(random),
+    ...randomTiming(random),
   }),
   (random, deployment) => ({
     type: 'slow-link',
-    target: anyTarget(random, deployment),
+    target: randomTarget(random, deployment),
     extraMs: 1 + random.below(MAX_EXTRA_LATENCY_MS),
-    ...timing(random),
+    ...randomTiming(random),
   }),
   (random, deployment) => ({
     type: 'slow-service',
     service: pick(random, deployment.services).name,
     factor: 2 + random.below(MAX_SLOWNESS),
-    ...timing(random),
+    ...randomTiming(random),
   }),
   (random, deployment) => ({
     type: 'leave',
-    target: anyTarget(random, deployment),
-    atMs: timing(random).atMs,
+    target: randomTarget(random, deployment),
+    atMs: randomTiming(random).atMs,
   }),
   (random, deployment) => ({
     type: 'cold-start',
-    target: anyTarget(random, deployment),
+    target: randomTarget(random, deployment),
     factor: 2 + random.below(MAX_SLOWNESS),
-    ...timing(random),
+    ...randomTiming(random),
   }),
 ];
 
@@ -82,9 +82,9 @@
   const name = pick(random, DEPLOYMENTS);
   const { deployment } = loadDeployment(name);
   const faults = Array.from({ length: 1 + random.below(MAX_FAULTS) }, () =>
-    pick(random, FAULT_MAKERS)(random, deployment),
+    pick(random, FAULT_GENERATORS)(random, deployment),
   );
-  const surge = timing(random);
+  const surge = randomTiming(random);
   return scenarioSchema.parse({
     name: `random-${seed}`,
     deployment: name,
--- a/lab/check/shrink.ts
+++ b/lab/check/shrink.ts
@@ -6,7 +6,7 @@
 }
 
 /** Returns every scenario that has one fault or load phase fewer. */
-function smaller(scenario: Scenario): Scenario[] {
+function smallerScenarios(scenario: Scenario): Scenario[] {
   return [
     ...scenario.faults.map((_, index) => ({
       ...scenario,
@@ -24,7 +24,7 @@
   scenario: Scenario,
   fails: (scenario: Scenario) => boolean,
 ): Scenario {
-  for (const candidate of smaller(scenario)) {
+  for (const candidate of smallerScenarios(scenario)) {
     if (fails(candidate)) return shrinkScenario(candidate, fails);
   }
   return scenario;
--- a/lab/cli/retry-bound-command.ts
+++ b/lab/cli/retry-bound-command.ts
@@ -31,13 +31,13 @@
   order: z.enum(['sequence', 'together']),
 });
 
-const KIND_FORM = 'NAME:PER_SECOND:CALLS[:WORTH[:sequence|together]]';
+const KIND_FORMAT = 'NAME:PER_SECOND:CALLS[:WORTH[:sequence|together]]';
 const PERCENT = 100;
 
 export function registerRetryBoundCommand(cli: CAC): void {
   cli
     .command('retry-bound', 'The most requests that any policy of retries could finish')
-    .option('--kind <kind>', `${KIND_FORM}; may be given several times`)
+    .option('--kind <kind>', `${KIND_FORMAT}; may be given several times`)
     .option('--reject <part>', 'Part of the arrivals that targets turn away', { default: 0.5 })
     .option('--ratio <part>', 'Repeats allowed for each first arrival', { default: 0.2 })
     .option('--slack <number>', 'Repeats allowed besides, a second', { default: 0 })
@@ -49,7 +49,7 @@
 async function printBound(options: RetryBoundOptions): Promise<void> {
   const { retryBound } = await import('../retries/retry-bound.js');
   const kinds = [options.kind ?? []].flat().map(kindOf);
-  if (kinds.length === 0) throw new UsageError(`--kind is needed: ${KIND_FORM}`);
+  if (kinds.length === 0) throw new UsageError(`--kind is needed: ${KIND_FORMAT}`);
   const { reject, ratio, slack: slackPerSecond, attempts } = options;
   const service = parseOrThrow(
     serviceSchema,
@@ -68,7 +68,7 @@
 
 function kindOf(text: string): BoundKind {
   const [name, perSecond, calls, worth = '1', order = 'sequence', ...rest] = text.split(':');
-  if (rest.length > 0) throw new UsageError(`--kind ${text} has too many parts: ${KIND_FORM}`);
+  if (rest.length > 0) throw new UsageError(`--kind ${text} has too many parts: ${KIND_FORMAT}`);
   const given = { name, perSecond, calls, worth, order };
   const { order: parsedOrder, ...kind } = parseOrThrow(kindSchema, given, `--kind ${text}`);
   return { ...kind, together: parsedOrder === 'together' };
--- a/lab/cli/soak-command.ts
+++ b/lab/cli/soak-command.ts
@@ -33,7 +33,7 @@
 
 /** Shorter runs would have no time for faults before the calm at their end. */
 const MIN_SECONDS = 10;
-const MILLISECONDS = 1_000;
+const MS_PER_SECOND = 1_000;
 const SERVED_DECIMALS = 3;
 
 export function registerSoakCommand(cli: CAC): void {
@@ -60,7 +60,7 @@
   const { runSoak } = await import('../soak/run-soak.js');
   const first = wholeNumber('--seed', options.seed, 0);
   const count = wholeNumber('--seeds', options.seeds, 1);
-  const durationMs = wholeNumber('--seconds', options.seconds, MIN_SECONDS) * MILLISECONDS;
+  const durationMs = wholeNumber('--seconds', options.seconds, MIN_SECONDS) * MS_PER_SECOND;
   const draw = profileOf(options.profile);
   const folder = options.dir ?? join(tmpdir(), 'shoredoor-soak');
   let failed = 0;
--- a/lab/experiment/capacity-bound.ts
+++ b/lab/experiment/capacity-bound.ts
@@ -10,17 +10,17 @@
 type SlotTime = ReadonlyMap<string, number>;
 
 /** Factor by which a service's own work is slowed; 1 in ordinary times. */
-type SlownessOf = (service: string) => number;
+type SlowFactorOf = (service: string) => number;
 
 /** A demand as the bound fills it in. */
-interface OpenDemand {
+interface DemandAllocation {
   readonly demand: DemandModel;
   readonly importance: number;
   readonly slotTime: SlotTime;
   /** Requests a second offered and not placed yet. */
-  open: number;
+  unallocated: number;
   /** Requests a second placed. */
-  placed: number;
+  allocated: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -31,7 +31,7 @@
   service: string,
   method: string,
   path: string,
-  slowness: SlownessOf,
+  slowness: SlowFactorOf,
   into: Map<string, number>,
 ): number {
   const model = deployment.services.find((candidate) => candidate.name === service)!;
@@ -48,41 +48,44 @@
 }
 
 /** Places as much of the demands as fits, the most important first and evenly among equals. */
-function fill(demands: readonly OpenDemand[], freeSlotMs: Map<string, number>): void {
+function allocateByImportance(
+  demands: readonly DemandAllocation[],
+  freeSlotMs: Map<string, number>,
+): void {
   const levels = [...new Set(demands.map((entry) => entry.importance))].sort((a, b) => b - a);
   for (const level of levels) {
-    const equals = demands.filter((entry) => entry.importance === level && entry.open > 0);
+    const equals = demands.filter((entry) => entry.importance === level && entry.unallocated > 0);
     for (const entry of equals) {
       // Demands of one importance that need the same services split them in proportion.
-      const rivals = equals.slice(equals.indexOf(entry));
-      const rate = Math.min(entry.open, fittingRate(entry, rivals, freeSlotMs));
-      place(entry, rate, freeSlotMs);
+      const competing = equals.slice(equals.indexOf(entry));
+      const rate = Math.min(entry.unallocated, feasibleRate(entry, competing, freeSlotMs));
+      allocate(entry, rate, freeSlotMs);
     }
   }
 }
 
 /** The rate of `entry` that fits when its rivals for each service get their parts too. */
-function fittingRate(
-  entry: OpenDemand,
-  rivals: readonly OpenDemand[],
+function feasibleRate(
+  entry: DemandAllocation,
+  competing: readonly DemandAllocation[],
   freeSlotMs: ReadonlyMap<string, number>,
 ): number {
   let rate = Infinity;
   for (const [service, perRequestMs] of entry.slotTime) {
-    const wanted = rivals.reduce(
-      (sum, rival) => sum + rival.open * (rival.slotTime.get(service) ?? 0),
+    const wanted = competing.reduce(
+      (sum, rival) => sum + rival.unallocated * (rival.slotTime.get(service) ?? 0),
       0,
     );
     const free = freeSlotMs.get(service)!;
     const part = Math.min(1, free / wanted);
-    rate = Math.min(rate, entry.open * part, free / perRequestMs);
+    rate = Math.min(rate, entry.unallocated * part, free / perRequestMs);
   }
   return rate;
 }
 
-function place(entry: OpenDemand, rate: number, freeSlotMs: Map<string, number>): void {
-  entry.open -= rate;
-  entry.placed += rate;
+function allocate(entry: DemandAllocation, rate: number, freeSlotMs: Map<string, number>): void {
+  entry.unallocated -= rate;
+  entry.allocated += rate;
   for (const [service, perRequestMs] of entry.slotTime) {
     freeSlotMs.set(service, freeSlotMs.get(service)! - rate * perRequestMs);
   }
@@ -96,30 +99,37 @@
   deployment: Deployment,
   table: PolicyTable,
   rateOf: (demand: DemandModel) => number,
-  slowness: SlownessOf,
+  slowness: SlowFactorOf,
 ): number {
-  const open = deployment.demand.map((demand): OpenDemand => {
+  const allocations = deployment.demand.map((demand): DemandAllocation => {
     const kind = table.kind(demand.kind)!;
     const slotTime = new Map<string, number>();
     addSlotTime(deployment, kind.service, demand.method, demand.path, slowness, slotTime);
-    return { demand, importance: kind.importance, slotTime, open: rateOf(demand), placed: 0 };
+    return {
+      demand,
+      importance: kind.importance,
+      slotTime,
+      unallocated: rateOf(demand),
+      allocated: 0,
+    };
   });
   const groups = [...new Set(deployment.demand.map((demand) => demand.group))];
-  const left = new Map(deployment.services.map((service) => [service.name, 0]));
+  const remainingSlotMs = new Map(deployment.services.map((service) => [service.name, 0]));
   for (const group of groups) {
     const part = table.shareOf(group) / table.totalShare;
-    const slice = new Map(
+    const guaranteedSlotMs = new Map(
       deployment.services.map((service) => [
         service.name,
         service.targets * service.slots * MILLISECONDS_PER_SECOND * part,
       ]),
     );
-    fill(
-      open.filter((entry) => entry.demand.group === group),
-      slice,
+    allocateByImportance(
+      allocations.filter((entry) => entry.demand.group === group),
+      guaranteedSlotMs,
     );
-    for (const [service, unused] of slice) left.set(service, left.get(service)! + unused);
+    for (const [service, unused] of guaranteedSlotMs)
+      remainingSlotMs.set(service, remainingSlotMs.get(service)! + unused);
   }
-  fill(open, left);
-  return open.reduce((sum, { placed }) => sum + placed, 0);
+  allocateByImportance(allocations, remainingSlotMs);
+  return allocations.reduce((sum, { allocated }) => sum + allocated, 0);
 }
--- a/lab/experiment/promises.ts
+++ b/lab/experiment/promises.ts
@@ -68,7 +68,7 @@
 const notRunIsTrue: Check = ({ records }) => {
   const counts = countExecutions(records);
   return records.requests
-    .filter((request) => request.result === 'refused' && request.toldNotRun)
+    .filter((request) => request.result === 'refused' && request.allAttemptsNotRun)
     .filter((request) => (counts.get(request.labId) ?? 0) > 0)
     .map((request) => ({
       promise: 'not-run-is-true' as const,
--- a/lab/experiment/result.ts
+++ b/lab/experiment/result.ts
@@ -119,13 +119,13 @@
 /** Time after `endMs` until a window of goodput reaches most of what it was before. */
 function recoveryTime(
   requests: readonly RequestRecord[],
-  usual: number,
+  goodputBefore: number,
   endMs: number,
   durationMs: number,
 ): number | null {
   for (let from = endMs; from + RECOVERY_WINDOW_MS <= durationMs; from += RECOVERY_STEP_MS) {
     const now = goodput(requests, from, from + RECOVERY_WINDOW_MS);
-    if (now >= RECOVERED_FRACTION * usual) return from - endMs;
+    if (now >= RECOVERED_FRACTION * goodputBefore) return from - endMs;
   }
   return null;
 }
--- a/lab/experiment/scenario.ts
+++ b/lab/experiment/scenario.ts
@@ -6,7 +6,7 @@
 import { parseOrThrow } from '../../src/common/validate.js';
 import { nameSchema } from '../../src/policy/resource-schema.js';
 import { readYamlFile } from '../../src/settings/load-settings.js';
-import { HARD_RETRIES } from '../model/caller-model.js';
+import { AGGRESSIVE_RETRIES } from '../model/caller-model.js';
 import { mechanismsSchema } from '../simulator/mechanisms.js';
 
 const MAX_DURATION_MS = 3_600_000;
@@ -25,11 +25,11 @@
 });
 
 const callersSchema = z.strictObject({
-  patienceMs: duration.default(HARD_RETRIES.patienceMs),
-  maxAttempts: z.number().int().min(1).max(100).default(HARD_RETRIES.maxAttempts),
-  retryPauseMs: duration.default(HARD_RETRIES.retryPauseMs),
-  honourRetryAfter: z.number().min(0).max(1).default(HARD_RETRIES.honourRetryAfter),
-  hangUp: z.number().min(0).max(1).default(HARD_RETRIES.hangUp),
+  patienceMs: duration.default(AGGRESSIVE_RETRIES.patienceMs),
+  maxAttempts: z.number().int().min(1).max(100).default(AGGRESSIVE_RETRIES.maxAttempts),
+  retryPauseMs: duration.default(AGGRESSIVE_RETRIES.retryPauseMs),
+  honourRetryAfter: z.number().min(0).max(1).default(AGGRESSIVE_RETRIES.honourRetryAfter),
+  hangUp: z.number().min(0).max(1).default(AGGRESSIVE_RETRIES.hangUp),
 });
 
 const slowServiceSchema = z.strictObject({
--- a/lab/model/backend-model.ts
+++ b/lab/model/backend-model.ts
@@ -75,7 +75,7 @@
     this.finished = true;
     this.timer?.cancel();
     this.nested?.cancel();
-    this.backend.leave(this);
+    this.backend.remove(this);
   }
 
   /** Occupies a slot: does the handler's own work, then the nested calls, then responds. */
@@ -91,7 +91,7 @@
       this.answer(STATUS_OK);
       return;
     }
-    this.nested = this.backend.callOut(call, `${this.request.labId}/${index}`, (status) => {
+    this.nested = this.backend.makeNestedCall(call, `${this.request.labId}/${index}`, (status) => {
       this.nested = undefined;
       if (this.finished) return;
       if (status === STATUS_OK) this.callNext(index + 1);
@@ -101,7 +101,7 @@
 
   private answer(status: number): void {
     this.finished = true;
-    this.backend.leave(this);
+    this.backend.remove(this);
     this.listener(status, status === STATUS_OK ? this.handler.responseBytes : 0);
   }
 }
@@ -114,14 +114,14 @@
   private slowFactor = 1;
   /** Number of restarts; calls of an earlier generation no longer affect the slots. */
   generation = 0;
-  private cold: ColdStart | undefined;
-  private coldSince = 0;
+  private coldStart: ColdStart | undefined;
+  private coldStartedAt = 0;
 
   constructor(
     readonly clock: Clock,
     private readonly random: RandomSource,
     private readonly service: ServiceModel,
-    readonly callOut: NestedCaller,
+    readonly makeNestedCall: NestedCaller,
     private readonly onExecution: (record: ExecutionRecord) => void = () => undefined,
   ) {}
 
@@ -132,8 +132,8 @@
 
   /** Begins a cold start now. */
   startCold(cold: ColdStart): void {
-    this.cold = cold;
-    this.coldSince = this.clock.now();
+    this.coldStart = cold;
+    this.coldStartedAt = this.clock.now();
   }
 
   /**
@@ -162,12 +162,12 @@
   reset(): void {
     this.waiting.length = 0;
     this.busy = 0;
-    this.cold = undefined;
+    this.coldStart = undefined;
     this.generation += 1;
   }
 
   /** Removes a call that has ended or was cancelled, and starts the next one. */
-  leave(call: BackendCall): void {
+  remove(call: BackendCall): void {
     if (call.generation !== this.generation) return;
     if (call.holdsSlot) this.busy -= 1;
     else {
@@ -185,13 +185,13 @@
   }
 
   private coldFactor(): number {
-    if (this.cold === undefined) return 1;
-    const progress = (this.clock.now() - this.coldSince) / this.cold.durationMs;
+    if (this.coldStart === undefined) return 1;
+    const progress = (this.clock.now() - this.coldStartedAt) / this.coldStart.durationMs;
     if (progress >= 1) {
-      this.cold = undefined;
+      this.coldStart = undefined;
       return 1;
     }
-    return this.cold.factor + (1 - this.cold.factor) * progress;
+    return this.coldStart.factor + (1 - this.coldStart.factor) * progress;
   }
 
   private dispatch(): void {
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -24,7 +24,7 @@
 }
 
 /** Default behaviour in scenarios: aggressive retries, most of which ignore `Retry-After`. */
-export const HARD_RETRIES: CallerBehaviour = {
+export const AGGRESSIVE_RETRIES: CallerBehaviour = {
   patienceMs: 2_000,
   maxAttempts: 4,
   retryPauseMs: 100,
@@ -72,7 +72,7 @@
   attempts: number;
   result: RequestResult | undefined;
   /** Whether every attempt ended with the verdict `not-run`. */
-  toldNotRun: boolean;
+  allAttemptsNotRun: boolean;
   /** Set when a response was incomplete or belonged to another request. */
   wrongAnswer: AnswerCheck | undefined;
 }
@@ -148,7 +148,7 @@
       endedAt: 0,
       attempts: 0,
       result: undefined,
-      toldNotRun: true,
+      allAttemptsNotRun: true,
       wrongAnswer: undefined,
     };
     this.records.push(record);
@@ -176,7 +176,7 @@
     const hangUpTimer = hangsUp
       ? this.clock.schedule(this.random.next() * 50, () => {
           handle.cancel();
-          record.toldNotRun = false;
+          record.allAttemptsNotRun = false;
           this.end(record, 'hung-up');
         })
       : undefined;
@@ -184,7 +184,7 @@
 
   private onAnswer(demand: DemandModel, record: RequestRecord, answer: AttemptAnswer): void {
     if (record.result !== undefined) return;
-    if (answer.verdict !== 'not-run') record.toldNotRun = false;
+    if (answer.verdict !== 'not-run') record.allAttemptsNotRun = false;
     if (answer.status === STATUS_OK) {
       if (answer.check !== 'whole') record.wrongAnswer = answer.check;
       this.end(record, answer.check === 'whole' ? 'completed' : 'failed');
@@ -192,7 +192,7 @@
     }
     const final = answer.status >= 400 && answer.status < 500 && answer.status !== STATUS_CONFLICT;
     if (final || record.attempts >= this.behaviour.maxAttempts) {
-      this.end(record, record.toldNotRun ? 'refused' : 'failed');
+      this.end(record, record.allAttemptsNotRun ? 'refused' : 'failed');
       return;
     }
     this.clock.schedule(this.pauseMs(answer), () => this.attempt(demand, record));
--- a/lab/retries/retry-bound.ts
+++ b/lab/retries/retry-bound.ts
@@ -52,7 +52,7 @@
 }
 
 /** What one request comes to on average under the best policy for a price. */
-interface Prospect {
+interface ExpectedOutcome {
   /** Worth, less the price of repeats beyond what first arrivals allow. */
   readonly value: number;
   readonly finished: number;
@@ -60,44 +60,47 @@
   readonly repeats: number;
 }
 
-const GIVEN_UP: Prospect = { value: 0, finished: 0, firsts: 0, repeats: 0 };
+const ABANDONED: ExpectedOutcome = { value: 0, finished: 0, firsts: 0, repeats: 0 };
 /** Halvings of the interval of prices: to one part in 10^12. */
-const HALVINGS = 40;
+const BISECTION_STEPS = 40;
 
 /** Computes the bound. */
 export function retryBound(kinds: readonly BoundKind[], service: BoundService): RetryBoundResult {
-  const unbounded = kinds.map((kind) => prospectOf(kind, service, 0));
-  if (overspent(kinds, unbounded, service) <= 0) return resultOf(kinds, unbounded);
+  const atZeroPrice = kinds.map((kind) => bestOutcome(kind, service, 0));
+  if (repeatsOverBudget(kinds, atZeroPrice, service) <= 0) return resultOf(kinds, atZeroPrice);
   let low = 0;
   let high = Math.max(...kinds.map((kind) => kind.worth));
-  for (let halving = 0; halving < HALVINGS; halving += 1) {
+  for (let halving = 0; halving < BISECTION_STEPS; halving += 1) {
     const price = (low + high) / 2;
-    const prospects = kinds.map((kind) => prospectOf(kind, service, price));
-    if (overspent(kinds, prospects, service) > 0) low = price;
+    const prospects = kinds.map((kind) => bestOutcome(kind, service, price));
+    if (repeatsOverBudget(kinds, prospects, service) > 0) low = price;
     else high = price;
   }
-  const generous = kinds.map((kind) => prospectOf(kind, service, low));
-  const sparing = kinds.map((kind) => prospectOf(kind, service, high));
-  const over = overspent(kinds, generous, service);
-  const under = -overspent(kinds, sparing, service);
-  const generousPart = under / (over + under);
+  const atLowPrice = kinds.map((kind) => bestOutcome(kind, service, low));
+  const atHighPrice = kinds.map((kind) => bestOutcome(kind, service, high));
+  const over = repeatsOverBudget(kinds, atLowPrice, service);
+  const under = -repeatsOverBudget(kinds, atHighPrice, service);
+  const lowPriceFraction = under / (over + under);
   return resultOf(
     kinds,
-    generous.map((each, index) => mix(each, generousPart, sparing[index]!)),
+    atLowPrice.map((each, index) => mix(each, lowPriceFraction, atHighPrice[index]!)),
   );
 }
 
 /** Repeats a second beyond what is allowed. */
-function overspent(
+function repeatsOverBudget(
   kinds: readonly BoundKind[],
-  prospects: readonly Prospect[],
+  prospects: readonly ExpectedOutcome[],
   { ratio, slackPerSecond }: BoundService,
 ): number {
   const perRequest = prospects.map(({ repeats, firsts }) => repeats - ratio * firsts);
   return sum(kinds.map((kind, index) => kind.perSecond * perRequest[index]!)) - slackPerSecond;
 }
 
-function resultOf(kinds: readonly BoundKind[], prospects: readonly Prospect[]): RetryBoundResult {
+function resultOf(
+  kinds: readonly BoundKind[],
+  prospects: readonly ExpectedOutcome[],
+): RetryBoundResult {
   const worths = kinds.map((kind) => kind.perSecond * kind.worth);
   const earned = kinds.map((_, index) => worths[index]! * prospects[index]!.finished);
   return {
@@ -109,8 +112,8 @@
   };
 }
 
-function prospectOf(kind: BoundKind, service: BoundService, price: number): Prospect {
-  const finished = { ...GIVEN_UP, value: kind.worth, finished: 1 };
+function bestOutcome(kind: BoundKind, service: BoundService, price: number): ExpectedOutcome {
+  const finished = { ...ABANDONED, value: kind.worth, finished: 1 };
   return kind.together
     ? callsTogether(kind.calls, finished, service, price)
     : callsInSequence(kind.calls, finished, service, price);
@@ -118,10 +121,10 @@
 
 function callsInSequence(
   calls: number,
-  finished: Prospect,
+  finished: ExpectedOutcome,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   let next = finished;
   for (let call = 0; call < calls; call += 1) {
     next = firstArrivals(1, attempt(next, 1, service, price), service, price);
@@ -132,18 +135,18 @@
 /** All calls arrive once; then those that were turned away are sent again one by one, as long as it pays. */
 function callsTogether(
   calls: number,
-  finished: Prospect,
+  finished: ExpectedOutcome,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const { reject, attempts } = service;
   const rejected = [finished];
   for (let count = 1; count <= calls; count += 1) {
     rejected.push(
-      attempts > 1 ? better(repeat(rejected[count - 1]!, 2, service, price)) : GIVEN_UP,
+      attempts > 1 ? orAbandon(repeat(rejected[count - 1]!, 2, service, price)) : ABANDONED,
     );
   }
-  let total = GIVEN_UP;
+  let total = ABANDONED;
   for (let count = 0; count <= calls; count += 1) {
     total = add(total, scale(rejected[count]!, binomial(calls, count, reject)));
   }
@@ -152,46 +155,46 @@
 
 /** An attempt that has been sent: succeeds, or is turned away and sent again if that pays. */
 function attempt(
-  afterSuccess: Prospect,
+  afterSuccess: ExpectedOutcome,
   number: number,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const { reject, attempts } = service;
   const afterRejection =
-    number < attempts ? better(repeat(afterSuccess, number + 1, service, price)) : GIVEN_UP;
+    number < attempts ? orAbandon(repeat(afterSuccess, number + 1, service, price)) : ABANDONED;
   return add(scale(afterSuccess, 1 - reject), scale(afterRejection, reject));
 }
 
 function repeat(
-  afterSuccess: Prospect,
+  afterSuccess: ExpectedOutcome,
   number: number,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const after = attempt(afterSuccess, number, service, price);
   return { ...after, value: after.value - price, repeats: after.repeats + 1 };
 }
 
 function firstArrivals(
   count: number,
-  after: Prospect,
+  after: ExpectedOutcome,
   { ratio }: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const credit = count * price * ratio;
   return { ...after, value: after.value + credit, firsts: after.firsts + count };
 }
 
-function better(prospect: Prospect): Prospect {
-  return prospect.value > GIVEN_UP.value ? prospect : GIVEN_UP;
+function orAbandon(prospect: ExpectedOutcome): ExpectedOutcome {
+  return prospect.value > ABANDONED.value ? prospect : ABANDONED;
 }
 
-function mix(first: Prospect, firstPart: number, second: Prospect): Prospect {
+function mix(first: ExpectedOutcome, firstPart: number, second: ExpectedOutcome): ExpectedOutcome {
   return add(scale(first, firstPart), scale(second, 1 - firstPart));
 }
 
-function add(first: Prospect, second: Prospect): Prospect {
+function add(first: ExpectedOutcome, second: ExpectedOutcome): ExpectedOutcome {
   return {
     value: first.value + second.value,
     finished: first.finished + second.finished,
@@ -200,7 +203,7 @@
   };
 }
 
-function scale(prospect: Prospect, factor: number): Prospect {
+function scale(prospect: ExpectedOutcome, factor: number): ExpectedOutcome {
   return {
     value: prospect.value * factor,
     finished: prospect.finished * factor,
