--- a/lab/cli/check-command.ts
+++ b/lab/cli/check-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab check`: reads the options and runs the seeds. */
+/** The command `shoredoor-lab check`: checks promises under random fault schedules. */
 import type { CAC } from 'cac';
 import { UsageError } from '../../src/common/errors.js';
 import { mechanismsFrom, wholeNumber } from './options.js';
--- a/lab/cli/experiment-command.ts
+++ b/lab/cli/experiment-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab experiment`: runs a scenario file, prints the figures, and writes reports. */
+/** The command `shoredoor-lab experiment`: runs a scenario file, prints the results and writes reports. */
 import { writeFileSync } from 'node:fs';
 import type { CAC } from 'cac';
 import { UsageError } from '../../src/common/errors.js';
--- a/lab/cli/main.ts
+++ b/lab/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The `shoredoor-lab` command line: development and CI only. */
+/** Entry point of the `shoredoor-lab` command line, which is used in development and CI only. */
 import { prepareHashing } from '../../src/common/rendezvous-hash.js';
 import { cac } from 'cac';
 import { UsageError, ValidationError } from '../../src/common/errors.js';
@@ -8,7 +8,7 @@
 import { registerRetryBoundCommand } from './retry-bound-command.js';
 import { registerSoakCommand } from './soak-command.js';
 
-/** Options of `backend`. */
+/** Options of the command `backend`. */
 interface BackendOptions {
   readonly deployment: string;
   readonly service: string;
--- a/lab/cli/options.ts
+++ b/lab/cli/options.ts
@@ -1,9 +1,9 @@
-/** Reads option values of the lab's commands. */
+/** Parses option values of the lab's commands. */
 import { UsageError } from '../../src/common/errors.js';
 import { parseOrThrow } from '../../src/common/validate.js';
 import { mechanismsSchema, type Mechanisms } from '../simulator/mechanisms.js';
 
-/** @throws UsageError when the value is not a whole number of at least `min` */
+/** Parses a whole number. @throws UsageError when the value is not a whole number of at least `min` */
 export function wholeNumber(name: string, value: unknown, min: number): number {
   const number = Number(value);
   if (Number.isInteger(number) && number >= min) return number;
@@ -11,8 +11,8 @@
 }
 
 /**
- * Reads `--switch` options, such as `claims=local`.
- * @throws ValidationError when a mechanism or its value is not known
+ * Parses `--switch` options, such as `claims=local`; returns only the mechanisms that were given.
+ * @throws ValidationError when a mechanism or its value is unknown
  */
 export function mechanismsFrom(switches: string | string[] | undefined): Partial<Mechanisms> {
   const list = typeof switches === 'string' ? [switches] : (switches ?? []);
--- a/lab/cli/retry-bound-command.ts
+++ b/lab/cli/retry-bound-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab retry-bound`: reads kinds and limits, and prints the bound. */
+/** The command `shoredoor-lab retry-bound`: prints the upper bound on what retry policies can complete. */
 import type { CAC } from 'cac';
 import { z } from 'zod';
 import { UsageError } from '../../src/common/errors.js';
--- a/lab/cli/soak-command.ts
+++ b/lab/cli/soak-command.ts
@@ -1,4 +1,4 @@
-/** `shoredoor-lab soak`: draws the plan of each seed, runs it, and prints a line for it. */
+/** The command `shoredoor-lab soak`: generates a fault plan from each seed, runs it and prints its results. */
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { CAC } from 'cac';
@@ -16,7 +16,7 @@
   readonly profile: string;
 }
 
-/** How plans are drawn, by the names of the option. */
+/** Plan generators by the value of `--profile`. */
 const PROFILES: Readonly<Record<string, (seed: number, durationMs: number) => SoakPlan>> = {
   mixed: drawPlan,
   stops: drawStopPlan,
@@ -31,7 +31,7 @@
   return profile;
 }
 
-/** Shorter runs would have no time for faults before the calm at their end. */
+/** Shorter runs have no time for faults before the fault-free phase at their end. */
 const MIN_SECONDS = 10;
 const MS_PER_SECOND = 1_000;
 const SERVED_DECIMALS = 3;
--- a/lab/experiment/capacity-bound.ts
+++ b/lab/experiment/capacity-bound.ts
@@ -1,31 +1,33 @@
 /**
- * The most whole requests that the services could finish under the policy: each group's share of
- * every service first, then what is left by importance. No overload control that keeps the policy can
- * finish more in the long run.
+ * Upper bound on the goodput that any overload control can reach in the long run while it respects the policy: each
+ * group first uses its share of every service, then the remaining capacity is allocated by importance.
  */
 import type { PolicyTable } from '../../src/policy/policy-table.js';
 import type { DemandModel, Deployment } from '../model/deployment.js';
 
-/** Work that one request needs, in milliseconds of slot time by service. */
+/** Slot time that one request needs, in milliseconds by service. */
 type SlotTime = ReadonlyMap<string, number>;
 
-/** Factor by which a service's own work is slowed; 1 in ordinary times. */
+/** Returns the factor by which a service's own work is slowed down; 1 is normal speed. */
 type SlowFactorOf = (service: string) => number;
 
-/** A demand as the bound fills it in. */
+/** The capacity allocated to a demand so far. */
 interface DemandAllocation {
   readonly demand: DemandModel;
   readonly importance: number;
   readonly slotTime: SlotTime;
-  /** Requests a second offered and not placed yet. */
+  /** Offered load that has no capacity yet, in requests per second. */
   unallocated: number;
-  /** Requests a second placed. */
+  /** Load that has been allocated capacity, in requests per second. */
   allocated: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Adds the slot time of one call and of everything below it. @returns its total duration */
+/**
+ * Adds the slot time of a call and of its nested calls to `into`. A call occupies its slot during its nested calls.
+ * @returns the duration of the call, in milliseconds
+ */
 function addSlotTime(
   deployment: Deployment,
   service: string,
@@ -47,7 +49,7 @@
   return durationMs;
 }
 
-/** Places as much of the demands as fits, the most important first and evenly among equals. */
+/** Allocates free slot time to the demands in order of importance; equally important demands share it in proportion. */
 function allocateByImportance(
   demands: readonly DemandAllocation[],
   freeSlotMs: Map<string, number>,
@@ -56,7 +58,7 @@
   for (const level of levels) {
     const equals = demands.filter((entry) => entry.importance === level && entry.unallocated > 0);
     for (const entry of equals) {
-      // Demands of one importance that need the same services split them in proportion.
+      // Demands handled earlier in this loop already have their part.
       const competing = equals.slice(equals.indexOf(entry));
       const rate = Math.min(entry.unallocated, feasibleRate(entry, competing, freeSlotMs));
       allocate(entry, rate, freeSlotMs);
@@ -64,7 +66,7 @@
   }
 }
 
-/** The rate of `entry` that fits when its rivals for each service get their parts too. */
+/** Returns the rate of `entry` that fits if all competing demands get a proportional part of each service. */
 function feasibleRate(
   entry: DemandAllocation,
   competing: readonly DemandAllocation[],
@@ -92,8 +94,8 @@
 }
 
 /**
- * The bound for a moment, in requests a second.
- * @param rateOf requests a second offered by a demand
+ * Computes the bound for constant load, in requests per second.
+ * @param rateOf returns the offered load of a demand, in requests per second
  */
 export function capacityBound(
   deployment: Deployment,
--- a/lab/experiment/promises.ts
+++ b/lab/experiment/promises.ts
@@ -1,6 +1,6 @@
 /**
- * The promises, checked from outside: from the callers' records and the back ends' own, never from
- * what the product says of itself.
+ * Checks of the promises (the guarantees that the product makes). They use only the records of the callers and of
+ * the back ends, never the product's own metrics or state.
  */
 import type { PolicyTable } from '../../src/policy/policy-table.js';
 import type { RequestRecord } from '../model/caller-model.js';
@@ -8,7 +8,7 @@
 import type { RunRecords } from './run-simulation.js';
 import type { Fault, Scenario } from './scenario.js';
 
-/** Names of the promises that runs of whole deployments check. */
+/** Ids of the promises that are checked in runs of whole deployments. */
 export const PROMISE_IDS = [
   'retry-bound',
   'protected-last',
@@ -22,15 +22,15 @@
 ] as const;
 export type PromiseId = (typeof PROMISE_IDS)[number];
 
-/** One breach of a promise. */
+/** A violation of a promise. */
 export interface Violation {
   readonly promise: PromiseId;
-  /** The request that shows it; empty where it is a matter of many. */
+  /** Id of the request concerned; empty when the promise is about many requests. */
   readonly requestId: string;
   readonly detail: string;
 }
 
-/** What the checks look at. */
+/** Input of the checks. */
 export interface Evidence {
   readonly scenario: Scenario;
   readonly table: PolicyTable;
@@ -40,7 +40,7 @@
 
 type Check = (evidence: Evidence) => Violation[];
 
-/** A leaving back end gets nothing new this long after it began to leave. */
+/** Time after the start of a planned stop in which the target may still receive new requests. */
 const LEAVING_GRACE_MS = 3_000;
 const MAX_PROTECTED_REFUSED = 0.01;
 const MIN_SHARE_SERVED = 0.95;
@@ -101,14 +101,14 @@
   return scenario.faults.filter((fault) => fault.type === 'leave');
 }
 
-/** Whether a target's processes were started anew, which makes them forget that they leave. */
+/** Whether the scenario restarts a target. A restarted process has lost the state that it is leaving. */
 function isRestarted(scenario: Scenario, target: string): boolean {
   return scenario.faults.some((fault) => fault.type === 'kill' && fault.target === target);
 }
 
 const noNewWork: Check = ({ scenario, records }) =>
   leaveFaults(scenario).flatMap((fault) => {
-    // A restarted process can only know it from the platform's list, which lags.
+    // A restarted process can only tell from the platform's endpoint list, which arrives late.
     const lagMs = isRestarted(scenario, fault.target) ? scenario.listDelayMs : 0;
     const late = (records.executions.get(fault.target) ?? []).filter(
       (execution) => execution.startedAt > fault.atMs + LEAVING_GRACE_MS + lagMs,
@@ -120,7 +120,7 @@
     }));
   });
 
-/** In a scenario whose only faults are planned stops, no request may fail. */
+/** Without overload and with planned stops as the only faults, no request may fail. */
 const cleanStop: Check = ({ scenario, records }) => {
   const leaves = leaveFaults(scenario);
   if (leaves.length === 0 || leaves.length < scenario.faults.length) return [];
@@ -134,14 +134,14 @@
     }));
 };
 
-/** Groups whose load the scenario does not raise. */
+/** Returns the groups whose load the scenario does not increase. */
 function ordinaryGroups(scenario: Scenario, requests: readonly RequestRecord[]): string[] {
   const groups = [...new Set(requests.map((request) => request.group))];
   const raised = scenario.load.filter((phase) => phase.factor > 1);
   return groups.filter((group) => raised.every((phase) => phase.groups?.includes(group) === false));
 }
 
-/** Where only some groups flood, the others get what they ask for within their share. */
+/** If the scenario increases the load of some groups only, nearly all requests of the other groups must complete. */
 const noStarvation: Check = ({ scenario, records, result }) => {
   const during = result.phases[1]!;
   const floods = scenario.load.some((phase) => phase.factor > 1 && phase.groups !== undefined);
@@ -157,7 +157,7 @@
   });
 };
 
-/** Where the whole load is raised, critical kinds are refused at most rarely. */
+/** If the critical kinds fit into the capacity, hardly any of their requests may be refused or fail. */
 const protectedLast: Check = ({ scenario, table, result }) => {
   if (!scenario.expect.protectedFits) return [];
   const lanes = result.phases[1]!.lanes.filter(
@@ -191,7 +191,7 @@
   recovery,
 };
 
-/** The violations of the given promises. */
+/** Returns the violations of the given promises. */
 export function findViolations(
   evidence: Evidence,
   promises: readonly PromiseId[] = PROMISE_IDS,
--- a/lab/experiment/result.ts
+++ b/lab/experiment/result.ts
@@ -1,13 +1,13 @@
 /**
- * Turns the records of a run into the figures that reports and checks use. Pure, and the same for simulated runs and
- * real processes.
+ * Computes the results of a run (goodput, latency, recovery time, executions) from its records. Used for simulated
+ * runs and for runs of real processes.
  */
 import type { RequestRecord } from '../model/caller-model.js';
 import { firstDisturbance, lastDisturbanceEnd, type Scenario } from './scenario.js';
 import { timeSeries, type SeriesPoint } from './time-series.js';
 import type { RunRecords } from './run-simulation.js';
 
-/** Figures of one group and kind. */
+/** Results of one kind in one group. */
 export interface LaneResult {
   readonly group: string;
   readonly kind: string;
@@ -16,37 +16,37 @@
   readonly refused: number;
   readonly failed: number;
   readonly hungUp: number;
-  /** Milliseconds from the first attempt to the whole answer; 0 where nothing was completed. */
+  /** Time from the first attempt to the complete response; 0 when no request was completed. */
   readonly latencyMs: Quantiles;
 }
 
-/** Quantiles of a set of times, in milliseconds. */
+/** Quantiles of durations, in milliseconds. */
 export interface Quantiles {
   readonly p50: number;
   readonly p90: number;
   readonly p99: number;
 }
 
-/** A time span with its figures. */
+/** Results of the time before, during or after the disturbances. */
 export interface PhaseResult {
   readonly name: 'before' | 'during' | 'after';
   readonly fromMs: number;
   readonly toMs: number;
-  /** Whole requests a second, by the time of their completion. */
+  /** Requests completed in the phase, per second. */
   readonly goodput: number;
   readonly lanes: readonly LaneResult[];
 }
 
-/** The figures of one run. */
+/** The results of one run. */
 export interface RunResult {
   readonly scenario: string;
   readonly seed: number;
   readonly phases: readonly PhaseResult[];
-  /** Milliseconds after the last disturbance until goodput is back; null when it never is. */
+  /** Time from the end of the last disturbance until goodput has recovered; null if it does not within the run. */
   readonly recoveryMs: number | null;
-  /** Most executions of one logical call at back ends. */
+  /** Maximum number of executions of one logical call. */
   readonly maxExecutions: number;
-  /** Executions for each first attempt at back ends. */
+  /** Mean number of executions of a logical call that was executed at all. */
   readonly executionsPerCall: number;
   readonly series: readonly SeriesPoint[];
 }
@@ -63,7 +63,7 @@
   return { p50: at(0.5), p90: at(0.9), p99: at(0.99) };
 }
 
-/** Whole requests a second completed in a time span. */
+/** Requests completed in a time span, per second. */
 function goodput(requests: readonly RequestRecord[], fromMs: number, toMs: number): number {
   if (toMs <= fromMs) return 0;
   const completed = requests.filter(
@@ -116,7 +116,7 @@
   };
 }
 
-/** Time after `endMs` until a window of goodput reaches most of what it was before. */
+/** Returns the time after `endMs` until goodput has recovered; null if it does not before `durationMs`. */
 function recoveryTime(
   requests: readonly RequestRecord[],
   goodputBefore: number,
@@ -130,7 +130,7 @@
   return null;
 }
 
-/** The figures of a run. */
+/** Computes the results of a run. */
 export function buildResult(scenario: Scenario, seed: number, records: RunRecords): RunResult {
   const { requests } = records;
   const begin = firstDisturbance(scenario);
@@ -152,7 +152,7 @@
   };
 }
 
-/** Executions by logical call: an attempt at a back end, nested calls counted on their own. */
+/** Counts executions by logical call. Attempts of a call count together, each nested call separately. */
 export function countExecutions(records: RunRecords): Map<string, number> {
   const counts = new Map<string, number>();
   for (const executions of records.executions.values()) {
--- a/lab/experiment/run-experiment.ts
+++ b/lab/experiment/run-experiment.ts
@@ -1,6 +1,6 @@
 /**
- * One experiment: a run, its figures, and the promises that it broke. Simulated here; `lab/fleet/fleet-experiment.ts`
- * runs the same scenarios on processes and has them judged here.
+ * Runs a scenario in the simulator and evaluates its results and promises. `lab/fleet/fleet-experiment.ts` runs the
+ * same scenarios with real processes and evaluates them with {@link evaluateRun}.
  */
 import { readDeclarations } from '../../src/cli/resource-files.js';
 import { PolicyTable } from '../../src/policy/policy-table.js';
@@ -11,19 +11,19 @@
 import { rateFactorAt, runSimulation, type RunRecords } from './run-simulation.js';
 import { firstDisturbance, type Scenario } from './scenario.js';
 
-/** Where an experiment runs. */
+/** Whether an experiment runs in the simulator or with real processes. */
 export type ExperimentMode = 'simulate' | 'fleet';
 
-/** What an experiment writes. */
+/** Report of one run, as written by `--json`. */
 export interface ExperimentReport {
   readonly mode: ExperimentMode;
   readonly result: RunResult;
-  /** Most whole requests a second that could be finished during the disturbance. */
+  /** Upper bound on the goodput at the start of the first disturbance, in requests per second. */
   readonly boundDuring: number;
   readonly violations: readonly Violation[];
 }
 
-/** Figures and violations of a run that has been made. */
+/** Evaluates the records of a finished run. */
 export function evaluateRun(
   scenario: Scenario,
   loaded: LoadedDeployment,
@@ -54,7 +54,7 @@
   return evaluateRun(scenario, loaded, seed, 'simulate', records, promises);
 }
 
-/** The bound at the moment when the first disturbance has begun. */
+/** Computes the goodput bound for the load and slowdown at the start of the first disturbance. */
 function boundDuring(scenario: Scenario, loaded: LoadedDeployment, table: PolicyTable): number {
   const atMs = firstDisturbance(scenario);
   const slowness = (service: string): number =>
--- a/lab/experiment/run-simulation.ts
+++ b/lab/experiment/run-simulation.ts
@@ -1,7 +1,4 @@
-/**
- * Runs a scenario in virtual time: wires callers and faults to a simulated deployment. Owns what a run leaves for the
- * checks.
- */
+/** Runs a scenario in virtual time: connects callers and faults to a simulated deployment and returns the records. */
 import { readDeclarations } from '../../src/cli/resource-files.js';
 import { CallerModel, type RequestRecord } from '../model/caller-model.js';
 import type { ExecutionRecord } from '../model/backend-model.js';
@@ -10,14 +7,14 @@
 import { SimWorld } from '../simulator/sim-world.js';
 import type { Fault, Scenario } from './scenario.js';
 
-/** What a run leaves for the checks: the callers' records and the back ends' own. */
+/** Records of a run: requests as seen by the callers, executions as seen by the back ends. */
 export interface RunRecords {
   readonly requests: readonly RequestRecord[];
-  /** By node id. */
+  /** Executions by node id. */
   readonly executions: ReadonlyMap<string, readonly ExecutionRecord[]>;
 }
 
-/** The rate factor that a scenario's load phases give a demand at a time. */
+/** Returns the product of the load factors that apply to a demand at a time. */
 export function rateFactorAt(scenario: Scenario, demand: DemandModel, atMs: number): number {
   let factor = 1;
   for (const phase of scenario.load) {
@@ -31,7 +28,7 @@
   return factor;
 }
 
-/** Runs a scenario with a seed. */
+/** Runs a scenario. The same seed gives the same records. */
 export function runSimulation(
   scenario: Scenario,
   loaded: LoadedDeployment,
--- a/lab/experiment/scenario.ts
+++ b/lab/experiment/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * A scenario: a deployment, its load over time, faults with times and targets, and switches. The
- * same file runs on processes and in the simulator. docs/reference/lab-files.md describes each field.
+ * Schema of a scenario file: a deployment, its load over time, faults, and mechanisms that are switched off. The same
+ * file runs in the simulator and with real processes. docs/reference/lab-files.md describes each field.
  */
 import { z } from 'zod';
 import { parseOrThrow } from '../../src/common/validate.js';
@@ -16,7 +16,7 @@
 const loadPhaseSchema = z.strictObject({
   fromMs: time,
   toMs: time,
-  /** Multiplies the usual rate. */
+  /** Factor applied to the normal rate. */
   factor: z.number().min(0).max(1_000),
   /** Only these groups; all when absent. */
   groups: z.array(nameSchema).optional(),
@@ -48,11 +48,11 @@
 
 const faultSchema = z.discriminatedUnion('type', [
   slowServiceSchema,
-  /** Ends the machine's processes at once; they start again, empty, after `forMs`. */
+  /** Kills the machine's processes; they restart without state after `forMs`. */
   z.strictObject({ type: z.literal('kill'), ...targetFault, forMs: duration }),
-  /** Stops the machine's processes and lets them go on after `forMs`. */
+  /** Pauses the machine's processes for `forMs`. */
   z.strictObject({ type: z.literal('freeze'), ...targetFault, forMs: duration }),
-  /** Loses the machine's messages silently. */
+  /** Drops the machine's messages silently. */
   z.strictObject({
     type: z.literal('cut'),
     ...targetFault,
@@ -66,9 +66,9 @@
     forMs: duration,
     extraMs: duration,
   }),
-  /** The target leaves for good: a planned stop of its node. */
+  /** Planned stop of the target's node; it does not return. */
   z.strictObject({ type: z.literal('leave'), ...targetFault }),
-  /** The target's work takes longer at first. */
+  /** The target's work is slower at first; `factor` falls to 1 over `forMs`. */
   z.strictObject({
     type: z.literal('cold-start'),
     ...targetFault,
@@ -77,24 +77,24 @@
   }),
 ]);
 
-/** What is to hold besides the promises that hold always. */
+/** Expectations of this scenario, in addition to the promises that always hold. */
 const expectSchema = z.strictObject({
-  /** The critical kinds alone fit into what is left, so they are refused at most rarely. */
+  /** The critical kinds alone fit into the remaining capacity, so hardly any of their requests may be lost. */
   protectedFits: z.boolean().default(false),
-  /** Goodput returns within two seconds of the last disturbance. */
+  /** Goodput recovers within two seconds of the end of the last disturbance. */
   recovers: z.boolean().default(false),
 });
 
 /** Schema of a scenario file. */
 export const scenarioSchema = z.strictObject({
   name: nameSchema,
-  /** Built-in deployment or a deployment file. */
+  /** Name of a built-in deployment, or path of a deployment file. */
   deployment: z.string().min(1),
   durationMs: duration,
   /** Requests before this time are not counted. */
   warmupMs: time.default(0),
   edges: z.number().int().min(1).max(100).default(2),
-  /** Time until a change of the platform's list has reached every process. */
+  /** Delay until a change of the platform's endpoint list has reached every process, in milliseconds. */
   listDelayMs: time.default(1_000),
   load: z.array(loadPhaseSchema).default([]),
   callers: callersSchema.default(callersSchema.parse({})),
@@ -106,12 +106,12 @@
 export type Scenario = z.infer<typeof scenarioSchema>;
 export type Fault = Scenario['faults'][number];
 
-/** Reads a scenario file. @throws ValidationError naming every fault */
+/** Reads a scenario file. @throws ValidationError listing all invalid fields */
 export function loadScenario(file: string): Scenario {
   return parseOrThrow(scenarioSchema, readYamlFile(file), file);
 }
 
-/** The time at which the last fault or load phase has ended. */
+/** Returns the time in milliseconds at which the last fault or load change ends; 0 when there is none. */
 export function lastDisturbanceEnd(scenario: Scenario): number {
   const ends = [
     ...scenario.faults.map((fault) => fault.atMs + ('forMs' in fault ? fault.forMs : 0)),
@@ -120,7 +120,7 @@
   return Math.max(0, ...ends);
 }
 
-/** The time at which the first fault or load phase begins; the end when there is none. */
+/** Returns the time in milliseconds at which the first fault or load change begins; the duration when there is none. */
 export function firstDisturbance(scenario: Scenario): number {
   const starts = [
     ...scenario.faults.map((fault) => fault.atMs),
--- a/lab/experiment/summary.ts
+++ b/lab/experiment/summary.ts
@@ -1,9 +1,9 @@
-/** Prints the figures of runs for people. */
+/** Formats the results of runs as text for the console. */
 import { formatTable } from '../../src/cli/output.js';
 import type { RunResult } from './result.js';
 import type { ExperimentReport } from './run-experiment.js';
 
-/** A table of one run's phases by kind and group. */
+/** Formats the results of one run: a table for each phase, then recovery and executions. */
 export function describeRun(result: RunResult): string {
   const lines: string[] = [];
   for (const phase of result.phases) {
@@ -35,13 +35,13 @@
   return lines.join('\n');
 }
 
-/** The median of some numbers. */
+/** Returns the median (the upper one of an even count), or NaN for an empty list. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.floor(sorted.length / 2)] ?? Number.NaN;
 }
 
-/** The figures of several runs of one scenario: medians and extremes. */
+/** Summarizes several runs of one scenario by medians and extremes. */
 export function describeRuns(reports: readonly ExperimentReport[]): string {
   const ratios = reports.map(({ result, boundDuring }) => result.phases[1]!.goodput / boundDuring);
   const recoveries = reports.map(({ result }) => result.recoveryMs ?? Infinity);
--- a/lab/experiment/time-series.ts
+++ b/lab/experiment/time-series.ts
@@ -1,7 +1,7 @@
-/** Counts what happened over time in a run, for the plots of a report. Pure. */
+/** Aggregates the requests of a run into time series for the plots of a report. */
 import type { RequestRecord } from '../model/caller-model.js';
 
-/** Requests of one kind that ended in one way, or began, within one step. */
+/** Rate of one measure for one kind of request within one time step. */
 export interface SeriesPoint {
   /** Start of the step, in seconds. */
   readonly second: number;
@@ -21,7 +21,7 @@
   count: number;
 }
 
-/** The points of a run, in steps of half a second. */
+/** Returns the points of a run in chronological order; steps without requests have none. */
 export function timeSeries(requests: readonly RequestRecord[], durationMs: number): SeriesPoint[] {
   const counts = new Map<string, StepCount>();
   const add = (atMs: number, measure: Measure, kind: string, count: number): void => {
--- a/lab/report/render-report.ts
+++ b/lab/report/render-report.ts
@@ -1,4 +1,4 @@
-/** Renders a run as one HTML page with plots over time. Relies on vega to draw. */
+/** Renders the report of a run as an HTML page with plots over time, drawn as SVG by vega. */
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 import { describeRun } from '../experiment/summary.js';
@@ -48,7 +48,7 @@
   return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;');
 }
 
-/** The page of a report. */
+/** Returns the HTML page of a report. */
 export async function renderReport(report: ExperimentReport): Promise<string> {
   const { result, mode, boundDuring, violations } = report;
   const endSecond = result.phases.at(-1)!.toMs / 1_000;
--- a/lab/retries/retry-bound.ts
+++ b/lab/retries/retry-bound.ts
@@ -1,59 +1,59 @@
 /**
- * The most that any policy of retries could finish while the targets of one service turn a part of the calls
- * away at random: what rounds on retries are measured against.
+ * Upper bound on what any retry policy can complete while the targets of one service reject a random fraction of the
+ * calls.
  *
- * Requests of several kinds need the service, each by a number of calls that all have to succeed. A policy
- * decides after each rejection whether to send the call again, knowing all about its request; over all requests
- * the repeats may not exceed a ratio of the first arrivals and a slack. That is a linear programme over
- * policies. Its dual has one variable, the price of a repeat, and for a given price each request is decided
- * alone by dynamic programming; the price at which the budget is just used gives the bound.
+ * A request completes when all its calls to the service have succeeded. After each rejection the policy decides
+ * whether to retry; in total, retries may not exceed a ratio of the first attempts plus a constant rate. This is a
+ * linear program with one budget constraint. Its dual variable is the price of a retry: for a given price, dynamic
+ * programming finds the best policy of each request, and bisection finds the price at which the budget is used up.
  */
 
-/** A kind of request that needs the service. */
+/** A kind of request that calls the service. */
 export interface BoundKind {
   readonly name: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly perSecond: number;
-  /** Calls to the service that a request needs, all of which have to succeed. */
+  /** Number of calls to the service that have to succeed for the request to complete. */
   readonly calls: number;
-  /** Whether they are made at the same time, and not each after the one before has succeeded. */
+  /** Whether the calls are sent concurrently rather than in sequence. */
   readonly together: boolean;
-  /** What a finished request is worth, relative to the others. */
+  /** Relative weight of a completed request. */
   readonly worth: number;
 }
 
-/** The service and its budget. */
+/** The service and its retry budget. */
 export interface BoundService {
-  /** Part of the arrivals that targets turn away, 0 to 1. */
+  /** Fraction of the calls that targets reject, 0 to 1. */
   readonly reject: number;
-  /** Repeats allowed for each first arrival, 0 to 1. */
+  /** Retries allowed for each first attempt, 0 to 1. */
   readonly ratio: number;
-  /** Repeats allowed besides, a second. */
+  /** Additional retries allowed per second. */
   readonly slackPerSecond: number;
-  /** Times that one call may arrive at most, at least 1. */
+  /** Maximum number of attempts of a call, at least 1. */
   readonly attempts: number;
 }
 
-/** What the best policy does with one kind. */
+/** Results of the best policy for one kind. */
 export interface KindBound {
   readonly name: string;
-  /** Part of the requests that are finished. */
+  /** Fraction of the requests that complete. */
   readonly finished: number;
-  /** First arrivals and repeats for each request. */
+  /** Mean number of first attempts of calls per request. */
   readonly firsts: number;
+  /** Mean number of retries per request. */
   readonly repeats: number;
 }
 
-/** The best that any policy can do. */
+/** Results of the best policy. */
 export interface RetryBoundResult {
-  /** Part of the worth of all requests that is finished. */
+  /** Weighted fraction of the requests that complete. */
   readonly worth: number;
   readonly kinds: readonly KindBound[];
 }
 
-/** What one request comes to on average under the best policy for a price. */
+/** Expected values of one request under the best policy for a given price of a retry. */
 interface ExpectedOutcome {
-  /** Worth, less the price of repeats beyond what first arrivals allow. */
+  /** Expected worth minus the price of retries, plus the price of those that its first attempts add to the budget. */
   readonly value: number;
   readonly finished: number;
   readonly firsts: number;
@@ -61,7 +61,7 @@
 }
 
 const ABANDONED: ExpectedOutcome = { value: 0, finished: 0, firsts: 0, repeats: 0 };
-/** Halvings of the interval of prices: to one part in 10^12. */
+/** Narrows the price interval to about 10^-12 of its width. */
 const BISECTION_STEPS = 40;
 
 /** Computes the bound. */
@@ -87,7 +87,7 @@
   );
 }
 
-/** Repeats a second beyond what is allowed. */
+/** Returns by how many retries per second the budget is exceeded; negative when part of it is unused. */
 function repeatsOverBudget(
   kinds: readonly BoundKind[],
   prospects: readonly ExpectedOutcome[],
@@ -132,7 +132,7 @@
   return next;
 }
 
-/** All calls arrive once; then those that were turned away are sent again one by one, as long as it pays. */
+/** All calls are sent once, then the rejected ones are retried one by one while the expected value is positive. */
 function callsTogether(
   calls: number,
   finished: ExpectedOutcome,
@@ -153,7 +153,7 @@
   return firstArrivals(calls, total, service, price);
 }
 
-/** An attempt that has been sent: succeeds, or is turned away and sent again if that pays. */
+/** Expected outcome of attempt `number`: it succeeds, or is rejected and retried if the expected value is positive. */
 function attempt(
   afterSuccess: ExpectedOutcome,
   number: number,
@@ -212,7 +212,7 @@
   };
 }
 
-/** Probability of `count` hits among `draws`. */
+/** Probability of `count` hits in `draws` independent draws with hit probability `hit`. */
 function binomial(draws: number, count: number, hit: number): number {
   let probability = hit ** count * (1 - hit) ** (draws - count);
   for (let each = 0; each < count; each += 1) probability *= (draws - each) / (each + 1);
--- a/test/lab/promises.test.ts
+++ b/test/lab/promises.test.ts
@@ -5,7 +5,7 @@
 import { loadDeployment } from '../../lab/model/load-deployment.js';
 import type { Mechanisms } from '../../lab/simulator/mechanisms.js';
 
-/** Each promise, a scenario that tries it, and the mechanism without which it breaks. */
+/** Each promise with a scenario that exercises it and a mechanism without which it is violated. */
 const CASES: { promise: PromiseId; scenario: string; off: Partial<Mechanisms> }[] = [
   { promise: 'at-most-once', scenario: 'lost-answers', off: { claims: 'local' } },
   { promise: 'not-run-is-true', scenario: 'lost-answers', off: { writtenKnown: false } },
--- a/test/lab/retry-bound.test.ts
+++ b/test/lab/retry-bound.test.ts
@@ -5,7 +5,10 @@
 
 const REQUESTS = 20_000;
 
-/** Sends again by chance. @returns part of the requests that are finished, and repeats for each first arrival */
+/**
+ * Simulates a policy that retries at random.
+ * @returns the fraction of requests that complete, and the retries per first attempt
+ */
 function play(calls: number, { reject, attempts }: BoundService, repeatPart: number, seed: number) {
   const random = new SeededRandom(seed);
   let finished = 0;
