--- a/lab/check/random-scenario.ts
+++ b/lab/check/random-scenario.ts
@@ -15,7 +15,7 @@
 const MAX_FAULTS = 4;
 const MAX_LIST_DELAY_MS = 5_000;
 const MAX_LOAD_FACTOR = 4;
-const MAX_SLOWNESS = 8;
+const MAX_SLOW_FACTOR = 8;
 const MAX_EXTRA_LATENCY_MS = 200;
 const DIRECTIONS = ['both', 'inbound', 'outbound'] as const;
 
@@ -60,7 +60,7 @@
   (random, deployment) => ({
     type: 'slow-service',
     service: pick(random, deployment.services).name,
-    factor: 2 + random.below(MAX_SLOWNESS),
+    factor: 2 + random.below(MAX_SLOW_FACTOR),
     ...randomTiming(random),
   }),
   (random, deployment) => ({
@@ -71,7 +71,7 @@
   (random, deployment) => ({
     type: 'cold-start',
     target: randomTarget(random, deployment),
-    factor: 2 + random.below(MAX_SLOWNESS),
+    factor: 2 + random.below(MAX_SLOW_FACTOR),
     ...randomTiming(random),
   }),
 ];
--- a/lab/check/run-check.ts
+++ b/lab/check/run-check.ts
@@ -52,10 +52,10 @@
 
 function checkSeed(seed: number, options: CheckOptions): boolean {
   const { promise } = options;
-  const calls = promise === CONFIGURATION_PROMISE || checkCalls(seed, options);
-  const isConfiguration = promise === undefined || promise === CONFIGURATION_PROMISE;
-  const configuration = !isConfiguration || checkConfiguration(seed, options);
-  return calls && configuration;
+  const callsPassed = promise === CONFIGURATION_PROMISE || checkCalls(seed, options);
+  const checksConfiguration = promise === undefined || promise === CONFIGURATION_PROMISE;
+  const configurationPassed = !checksConfiguration || checkConfiguration(seed, options);
+  return callsPassed && configurationPassed;
 }
 
 function checkCalls(seed: number, { promise, mechanisms, print }: CheckOptions): boolean {
@@ -65,9 +65,11 @@
   const violations = violationsOf(scenario, seed, promises);
   if (violations.length === 0) return true;
   printFailure(seed, promise, violations.map(describe), print);
-  const broken = new Set(violations.map((violation) => violation.promise));
+  const violatedPromises = new Set(violations.map((violation) => violation.promise));
   const shrunk = shrinkScenario(scenario, (candidate) =>
-    violationsOf(candidate, seed, promises).some((violation) => broken.has(violation.promise)),
+    violationsOf(candidate, seed, promises).some((violation) =>
+      violatedPromises.has(violation.promise),
+    ),
   );
   print('  smallest schedule that still fails:');
   for (const line of stringify(scheduleOf(shrunk)).trimEnd().split('\n')) print(`    ${line}`);
--- a/lab/experiment/capacity-bound.ts
+++ b/lab/experiment/capacity-bound.ts
@@ -33,7 +33,7 @@
   service: string,
   method: string,
   path: string,
-  slowness: SlowFactorOf,
+  slowFactorOf: SlowFactorOf,
   into: Map<string, number>,
 ): number {
   const model = deployment.services.find((candidate) => candidate.name === service)!;
@@ -41,9 +41,9 @@
     (candidate) => candidate.method === method && path.startsWith(candidate.path),
   );
   if (handler === undefined) return 0;
-  let durationMs = handler.workMs * slowness(service);
+  let durationMs = handler.workMs * slowFactorOf(service);
   for (const call of handler.calls) {
-    durationMs += addSlotTime(deployment, call.service, call.method, call.path, slowness, into);
+    durationMs += addSlotTime(deployment, call.service, call.method, call.path, slowFactorOf, into);
   }
   into.set(service, (into.get(service) ?? 0) + durationMs);
   return durationMs;
@@ -101,12 +101,12 @@
   deployment: Deployment,
   table: PolicyTable,
   rateOf: (demand: DemandModel) => number,
-  slowness: SlowFactorOf,
+  slowFactorOf: SlowFactorOf,
 ): number {
   const allocations = deployment.demand.map((demand): DemandAllocation => {
     const kind = table.kind(demand.kind)!;
     const slotTime = new Map<string, number>();
-    addSlotTime(deployment, kind.service, demand.method, demand.path, slowness, slotTime);
+    addSlotTime(deployment, kind.service, demand.method, demand.path, slowFactorOf, slotTime);
     return {
       demand,
       importance: kind.importance,
--- a/lab/experiment/promises.ts
+++ b/lab/experiment/promises.ts
@@ -135,7 +135,7 @@
 };
 
 /** Returns the groups whose load the scenario does not increase. */
-function ordinaryGroups(scenario: Scenario, requests: readonly RequestRecord[]): string[] {
+function groupsWithNormalLoad(scenario: Scenario, requests: readonly RequestRecord[]): string[] {
   const groups = [...new Set(requests.map((request) => request.group))];
   const raised = scenario.load.filter((phase) => phase.factor > 1);
   return groups.filter((group) => raised.every((phase) => phase.groups?.includes(group) === false));
@@ -146,7 +146,7 @@
   const during = result.phases[1]!;
   const floods = scenario.load.some((phase) => phase.factor > 1 && phase.groups !== undefined);
   if (!floods) return [];
-  return ordinaryGroups(scenario, records.requests).flatMap((group) => {
+  return groupsWithNormalLoad(scenario, records.requests).flatMap((group) => {
     const lanes = during.lanes.filter((lane) => lane.group === group);
     const offered = lanes.reduce((sum, lane) => sum + lane.offered - lane.hungUp, 0);
     const completed = lanes.reduce((sum, lane) => sum + lane.completed, 0);
--- a/lab/experiment/result.ts
+++ b/lab/experiment/result.ts
@@ -98,7 +98,7 @@
   });
 }
 
-function phase(
+function phaseResult(
   name: PhaseResult['name'],
   requests: readonly RequestRecord[],
   fromMs: number,
@@ -135,15 +135,15 @@
   const { requests } = records;
   const begin = firstDisturbance(scenario);
   const end = Math.max(begin, lastDisturbanceEnd(scenario));
-  const before = phase('before', requests, scenario.warmupMs, begin);
+  const before = phaseResult('before', requests, scenario.warmupMs, begin);
   const executions = countExecutions(records);
   return {
     scenario: scenario.name,
     seed,
     phases: [
       before,
-      phase('during', requests, begin, end),
-      phase('after', requests, end, scenario.durationMs),
+      phaseResult('during', requests, begin, end),
+      phaseResult('after', requests, end, scenario.durationMs),
     ],
     recoveryMs: recoveryTime(requests, before.goodput, end, scenario.durationMs),
     maxExecutions: Math.max(0, ...executions.values()),
--- a/lab/model/caller-model.ts
+++ b/lab/model/caller-model.ts
@@ -190,8 +190,9 @@
       this.end(record, answer.check === 'whole' ? 'completed' : 'failed');
       return;
     }
-    const final = answer.status >= 400 && answer.status < 500 && answer.status !== STATUS_CONFLICT;
-    if (final || record.attempts >= this.behaviour.maxAttempts) {
+    const isFinal =
+      answer.status >= 400 && answer.status < 500 && answer.status !== STATUS_CONFLICT;
+    if (isFinal || record.attempts >= this.behaviour.maxAttempts) {
       this.end(record, record.allAttemptsNotRun ? 'refused' : 'failed');
       return;
     }
--- a/lab/retries/retry-bound.ts
+++ b/lab/retries/retry-bound.ts
@@ -78,9 +78,9 @@
   }
   const atLowPrice = kinds.map((kind) => bestOutcome(kind, service, low));
   const atHighPrice = kinds.map((kind) => bestOutcome(kind, service, high));
-  const over = repeatsOverBudget(kinds, atLowPrice, service);
-  const under = -repeatsOverBudget(kinds, atHighPrice, service);
-  const lowPriceFraction = under / (over + under);
+  const excess = repeatsOverBudget(kinds, atLowPrice, service);
+  const unused = -repeatsOverBudget(kinds, atHighPrice, service);
+  const lowPriceFraction = unused / (excess + unused);
   return resultOf(
     kinds,
     atLowPrice.map((each, index) => mix(each, lowPriceFraction, atHighPrice[index]!)),
--- a/test/lab/retry-bound.test.ts
+++ b/test/lab/retry-bound.test.ts
@@ -9,7 +9,12 @@
  * Simulates a policy that retries at random.
  * @returns the fraction of requests that complete, and the retries per first attempt
  */
-function play(calls: number, { reject, attempts }: BoundService, repeatPart: number, seed: number) {
+function simulateRandomRetries(
+  calls: number,
+  { reject, attempts }: BoundService,
+  repeatPart: number,
+  seed: number,
+) {
   const random = new SeededRandom(seed);
   let finished = 0;
   let firsts = 0;
@@ -67,7 +72,12 @@
     });
     fc.assert(
       fc.property(cases, ({ calls, reject, attempts, repeatPart, seed }) => {
-        const played = play(calls, { ...service, reject, attempts }, repeatPart, seed);
+        const played = simulateRandomRetries(
+          calls,
+          { ...service, reject, attempts },
+          repeatPart,
+          seed,
+        );
         const budget = { reject, attempts, ratio: Math.min(1, played.ratio), slackPerSecond: 0 };
         const { worth } = retryBound([{ ...kind, calls }], budget);
         expect(played.finished).to.be.at.most(worth + 0.015);
