--- a/lab/check/run-check.ts
+++ b/lab/check/run-check.ts
@@ -1,6 +1,6 @@
 /**
- * Random fault schedules against the promises: many seeds, each failure shrunk and replayable. Relies on the
- * experiment for calls and on the control simulator for configuration.
+ * Runs random fault schedules for a range of seeds and checks the promises. For each failing seed it prints the
+ * command that replays it; a failing call scenario is also reduced to a smaller schedule that still fails.
  */
 import { stringify } from 'yaml';
 import { PROMISE_IDS, type PromiseId, type Violation } from '../experiment/promises.js';
@@ -15,9 +15,9 @@
 import { randomScenario } from './random-scenario.js';
 import { shrinkScenario } from './shrink.js';
 
-/** Checked on the control plane's own simulator. */
+/** Checked with the simulator of configuration replication, not with simulated calls. */
 const CONFIGURATION_PROMISE = 'config-forward';
-/** Everything that can be checked. */
+/** All promises that the `check` command accepts. */
 export const CHECKED_PROMISES: readonly string[] = [...PROMISE_IDS, CONFIGURATION_PROMISE];
 
 const REPLICATION_FAULT_MS = 8_000;
@@ -26,20 +26,20 @@
 export interface CheckOptions {
   readonly firstSeed: number;
   readonly seeds: number;
-  /** Only this promise; all when undefined. */
+  /** The only promise to check; all promises when undefined. */
   readonly promise: string | undefined;
-  /** Lab-only switches. */
+  /** Overrides of mechanisms that only the lab can switch off. */
   readonly mechanisms: Partial<Mechanisms>;
   readonly print: (line: string) => void;
 }
 
-/** How many seeds passed and failed. */
+/** Numbers of seeds that passed and failed. */
 export interface CheckResult {
   readonly passed: number;
   readonly failed: number;
 }
 
-/** Runs the seeds. */
+/** Checks each seed, prints the failures and a total. */
 export function runCheck(options: CheckOptions): CheckResult {
   let failed = 0;
   for (let seed = options.firstSeed; seed < options.firstSeed + options.seeds; seed += 1) {
@@ -52,10 +52,10 @@
 
 function checkSeed(seed: number, options: CheckOptions): boolean {
   const { promise } = options;
-  const calls = promise === CONFIGURATION_PROMISE || checkCalls(seed, options);
-  const isConfiguration = promise === undefined || promise === CONFIGURATION_PROMISE;
-  const configuration = !isConfiguration || checkConfiguration(seed, options);
-  return calls && configuration;
+  const callsPassed = promise === CONFIGURATION_PROMISE || checkCalls(seed, options);
+  const checksConfiguration = promise === undefined || promise === CONFIGURATION_PROMISE;
+  const configurationPassed = !checksConfiguration || checkConfiguration(seed, options);
+  return callsPassed && configurationPassed;
 }
 
 function checkCalls(seed: number, { promise, mechanisms, print }: CheckOptions): boolean {
@@ -65,9 +65,11 @@
   const violations = violationsOf(scenario, seed, promises);
   if (violations.length === 0) return true;
   printFailure(seed, promise, violations.map(describe), print);
-  const broken = new Set(violations.map((violation) => violation.promise));
+  const violatedPromises = new Set(violations.map((violation) => violation.promise));
   const shrunk = shrinkScenario(scenario, (candidate) =>
-    violationsOf(candidate, seed, promises).some((violation) => broken.has(violation.promise)),
+    violationsOf(candidate, seed, promises).some((violation) =>
+      violatedPromises.has(violation.promise),
+    ),
   );
   print('  smallest schedule that still fails:');
   for (const line of stringify(scheduleOf(shrunk)).trimEnd().split('\n')) print(`    ${line}`);
--- a/lab/retries/retry-bound.ts
+++ b/lab/retries/retry-bound.ts
@@ -1,103 +1,106 @@
 /**
- * The most that any policy of retries could finish while the targets of one service turn a part of the calls
- * away at random: what rounds on retries are measured against.
+ * Upper bound on what any retry policy can complete while the targets of one service reject a random fraction of the
+ * calls.
  *
- * Requests of several kinds need the service, each by a number of calls that all have to succeed. A policy
- * decides after each rejection whether to send the call again, knowing all about its request; over all requests
- * the repeats may not exceed a ratio of the first arrivals and a slack. That is a linear programme over
- * policies. Its dual has one variable, the price of a repeat, and for a given price each request is decided
- * alone by dynamic programming; the price at which the budget is just used gives the bound.
+ * A request completes when all its calls to the service have succeeded. After each rejection the policy decides
+ * whether to retry; in total, retries may not exceed a ratio of the first attempts plus a constant rate. This is a
+ * linear program with one budget constraint. Its dual variable is the price of a retry: for a given price, dynamic
+ * programming finds the best policy of each request, and bisection finds the price at which the budget is used up.
  */
 
-/** A kind of request that needs the service. */
+/** A kind of request that calls the service. */
 export interface BoundKind {
   readonly name: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly perSecond: number;
-  /** Calls to the service that a request needs, all of which have to succeed. */
+  /** Number of calls to the service that have to succeed for the request to complete. */
   readonly calls: number;
-  /** Whether they are made at the same time, and not each after the one before has succeeded. */
+  /** Whether the calls are sent concurrently rather than in sequence. */
   readonly together: boolean;
-  /** What a finished request is worth, relative to the others. */
+  /** Relative weight of a completed request. */
   readonly worth: number;
 }
 
-/** The service and its budget. */
+/** The service and its retry budget. */
 export interface BoundService {
-  /** Part of the arrivals that targets turn away, 0 to 1. */
+  /** Fraction of the calls that targets reject, 0 to 1. */
   readonly reject: number;
-  /** Repeats allowed for each first arrival, 0 to 1. */
+  /** Retries allowed for each first attempt, 0 to 1. */
   readonly ratio: number;
-  /** Repeats allowed besides, a second. */
+  /** Additional retries allowed per second. */
   readonly slackPerSecond: number;
-  /** Times that one call may arrive at most, at least 1. */
+  /** Maximum number of attempts of a call, at least 1. */
   readonly attempts: number;
 }
 
-/** What the best policy does with one kind. */
+/** Results of the best policy for one kind. */
 export interface KindBound {
   readonly name: string;
-  /** Part of the requests that are finished. */
+  /** Fraction of the requests that complete. */
   readonly finished: number;
-  /** First arrivals and repeats for each request. */
+  /** Mean number of first attempts of calls per request. */
   readonly firsts: number;
+  /** Mean number of retries per request. */
   readonly repeats: number;
 }
 
-/** The best that any policy can do. */
+/** Results of the best policy. */
 export interface RetryBoundResult {
-  /** Part of the worth of all requests that is finished. */
+  /** Weighted fraction of the requests that complete. */
   readonly worth: number;
   readonly kinds: readonly KindBound[];
 }
 
-/** What one request comes to on average under the best policy for a price. */
-interface Prospect {
-  /** Worth, less the price of repeats beyond what first arrivals allow. */
+/** Expected values of one request under the best policy for a given price of a retry. */
+interface ExpectedOutcome {
+  /** Expected worth minus the price of retries, plus the price of those that its first attempts add to the budget. */
   readonly value: number;
   readonly finished: number;
   readonly firsts: number;
   readonly repeats: number;
 }
 
-const GIVEN_UP: Prospect = { value: 0, finished: 0, firsts: 0, repeats: 0 };
-/** Halvings of the interval of prices: to one part in 10^12. */
-const HALVINGS = 40;
+const ABANDONED: ExpectedOutcome = { value: 0, finished: 0, firsts: 0, repeats: 0 };
+/** Narrows the price interval to about 10^-12 of its width. */
+const BISECTION_STEPS = 40;
 
 /** Computes the bound. */
 export function retryBound(kinds: readonly BoundKind[], service: BoundService): RetryBoundResult {
-  const unbounded = kinds.map((kind) => prospectOf(kind, service, 0));
-  if (overspent(kinds, unbounded, service) <= 0) return resultOf(kinds, unbounded);
+  const atZeroPrice = kinds.map((kind) => bestOutcome(kind, service, 0));
+  if (repeatsOverBudget(kinds, atZeroPrice, service) <= 0) return resultOf(kinds, atZeroPrice);
   let low = 0;
   let high = Math.max(...kinds.map((kind) => kind.worth));
-  for (let halving = 0; halving < HALVINGS; halving += 1) {
+  for (let halving = 0; halving < BISECTION_STEPS; halving += 1) {
     const price = (low + high) / 2;
-    const prospects = kinds.map((kind) => prospectOf(kind, service, price));
-    if (overspent(kinds, prospects, service) > 0) low = price;
+    const prospects = kinds.map((kind) => bestOutcome(kind, service, price));
+    if (repeatsOverBudget(kinds, prospects, service) > 0) low = price;
     else high = price;
   }
-  const generous = kinds.map((kind) => prospectOf(kind, service, low));
-  const sparing = kinds.map((kind) => prospectOf(kind, service, high));
-  const over = overspent(kinds, generous, service);
-  const under = -overspent(kinds, sparing, service);
-  const generousPart = under / (over + under);
+  const atLowPrice = kinds.map((kind) => bestOutcome(kind, service, low));
+  const atHighPrice = kinds.map((kind) => bestOutcome(kind, service, high));
+  const excess = repeatsOverBudget(kinds, atLowPrice, service);
+  const unused = -repeatsOverBudget(kinds, atHighPrice, service);
+  const lowPriceFraction = unused / (excess + unused);
   return resultOf(
     kinds,
-    generous.map((each, index) => mix(each, generousPart, sparing[index]!)),
+    atLowPrice.map((each, index) => mix(each, lowPriceFraction, atHighPrice[index]!)),
   );
 }
 
-/** Repeats a second beyond what is allowed. */
-function overspent(
+/** Returns by how many retries per second the budget is exceeded; negative when part of it is unused. */
+function repeatsOverBudget(
   kinds: readonly BoundKind[],
-  prospects: readonly Prospect[],
+  prospects: readonly ExpectedOutcome[],
   { ratio, slackPerSecond }: BoundService,
 ): number {
   const perRequest = prospects.map(({ repeats, firsts }) => repeats - ratio * firsts);
   return sum(kinds.map((kind, index) => kind.perSecond * perRequest[index]!)) - slackPerSecond;
 }
 
-function resultOf(kinds: readonly BoundKind[], prospects: readonly Prospect[]): RetryBoundResult {
+function resultOf(
+  kinds: readonly BoundKind[],
+  prospects: readonly ExpectedOutcome[],
+): RetryBoundResult {
   const worths = kinds.map((kind) => kind.perSecond * kind.worth);
   const earned = kinds.map((_, index) => worths[index]! * prospects[index]!.finished);
   return {
@@ -109,8 +112,8 @@
   };
 }
 
-function prospectOf(kind: BoundKind, service: BoundService, price: number): Prospect {
-  const finished = { ...GIVEN_UP, value: kind.worth, finished: 1 };
+function bestOutcome(kind: BoundKind, service: BoundService, price: number): ExpectedOutcome {
+  const finished = { ...ABANDONED, value: kind.worth, finished: 1 };
   return kind.together
     ? callsTogether(kind.calls, finished, service, price)
     : callsInSequence(kind.calls, finished, service, price);
@@ -118,10 +121,10 @@
 
 function callsInSequence(
   calls: number,
-  finished: Prospect,
+  finished: ExpectedOutcome,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   let next = finished;
   for (let call = 0; call < calls; call += 1) {
     next = firstArrivals(1, attempt(next, 1, service, price), service, price);
@@ -129,69 +132,69 @@
   return next;
 }
 
-/** All calls arrive once; then those that were turned away are sent again one by one, as long as it pays. */
+/** All calls are sent once, then the rejected ones are retried one by one while the expected value is positive. */
 function callsTogether(
   calls: number,
-  finished: Prospect,
+  finished: ExpectedOutcome,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const { reject, attempts } = service;
   const rejected = [finished];
   for (let count = 1; count <= calls; count += 1) {
     rejected.push(
-      attempts > 1 ? better(repeat(rejected[count - 1]!, 2, service, price)) : GIVEN_UP,
+      attempts > 1 ? orAbandon(repeat(rejected[count - 1]!, 2, service, price)) : ABANDONED,
     );
   }
-  let total = GIVEN_UP;
+  let total = ABANDONED;
   for (let count = 0; count <= calls; count += 1) {
     total = add(total, scale(rejected[count]!, binomial(calls, count, reject)));
   }
   return firstArrivals(calls, total, service, price);
 }
 
-/** An attempt that has been sent: succeeds, or is turned away and sent again if that pays. */
+/** Expected outcome of attempt `number`: it succeeds, or is rejected and retried if the expected value is positive. */
 function attempt(
-  afterSuccess: Prospect,
+  afterSuccess: ExpectedOutcome,
   number: number,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const { reject, attempts } = service;
   const afterRejection =
-    number < attempts ? better(repeat(afterSuccess, number + 1, service, price)) : GIVEN_UP;
+    number < attempts ? orAbandon(repeat(afterSuccess, number + 1, service, price)) : ABANDONED;
   return add(scale(afterSuccess, 1 - reject), scale(afterRejection, reject));
 }
 
 function repeat(
-  afterSuccess: Prospect,
+  afterSuccess: ExpectedOutcome,
   number: number,
   service: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const after = attempt(afterSuccess, number, service, price);
   return { ...after, value: after.value - price, repeats: after.repeats + 1 };
 }
 
 function firstArrivals(
   count: number,
-  after: Prospect,
+  after: ExpectedOutcome,
   { ratio }: BoundService,
   price: number,
-): Prospect {
+): ExpectedOutcome {
   const credit = count * price * ratio;
   return { ...after, value: after.value + credit, firsts: after.firsts + count };
 }
 
-function better(prospect: Prospect): Prospect {
-  return prospect.value > GIVEN_UP.value ? prospect : GIVEN_UP;
+function orAbandon(prospect: ExpectedOutcome): ExpectedOutcome {
+  return prospect.value > ABANDONED.value ? prospect : ABANDONED;
 }
 
-function mix(first: Prospect, firstPart: number, second: Prospect): Prospect {
+function mix(first: ExpectedOutcome, firstPart: number, second: ExpectedOutcome): ExpectedOutcome {
   return add(scale(first, firstPart), scale(second, 1 - firstPart));
 }
 
-function add(first: Prospect, second: Prospect): Prospect {
+function add(first: ExpectedOutcome, second: ExpectedOutcome): ExpectedOutcome {
   return {
     value: first.value + second.value,
     finished: first.finished + second.finished,
@@ -200,7 +203,7 @@
   };
 }
 
-function scale(prospect: Prospect, factor: number): Prospect {
+function scale(prospect: ExpectedOutcome, factor: number): ExpectedOutcome {
   return {
     value: prospect.value * factor,
     finished: prospect.finished * factor,
@@ -209,7 +212,7 @@
   };
 }
 
-/** Probability of `count` hits among `draws`. */
+/** Probability of `count` hits in `draws` independent draws with hit probability `hit`. */
 function binomial(draws: number, count: number, hit: number): number {
   let probability = hit ** count * (1 - hit) ** (draws - count);
   for (let each = 0; each < count; each += 1) probability *= (draws - each) / (each + 1);
