--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -5,21 +5,21 @@
 import type { ClaimView } from '../../../src/dedup/claim-view.js';
 import { QuorumClaims } from '../../../src/dedup/quorum-claims.js';
 import { MachineClock } from '../machine-clock.js';
-import { SimClaimTransport, type ClaimKeeper } from '../sim-claim-transport.js';
+import { SimClaimTransport, type ClaimReplicaHost } from '../sim-claim-transport.js';
 import { SimMachine } from '../sim-network.js';
 import type { ClaimWorld } from './claim-world.js';
 
 const TIMEOUT_MS = 300;
 /** A call that was granted its key answers after this time. */
-const WORK_MS = 50;
+const EXECUTION_MS = 50;
 const DEADLINE_MS = 1_000;
 const UNWRITTEN_CHANCE = 0.1;
 
-export class ClaimNode implements ClaimKeeper {
+export class ClaimNode implements ClaimReplicaHost {
   readonly machine: SimMachine;
   claimReplica!: ClaimReplica;
   private claims!: QuorumClaims;
-  private stopping = false;
+  private isStopping = false;
 
   constructor(
     readonly id: string,
@@ -31,9 +31,9 @@
     this.start();
   }
 
-  get isDisturbed(): boolean {
+  get isFaulty(): boolean {
     const { alive, isFrozen, cut } = this.machine;
-    return !alive || isFrozen || cut !== undefined || this.stopping;
+    return !alive || isFrozen || cut !== undefined || this.isStopping;
   }
 
   candidate(): ClaimCandidate {
@@ -48,13 +48,13 @@
 
   /** A planned stop: hands over, then ends. */
   stop(): void {
-    this.stopping = true;
+    this.isStopping = true;
     this.claimReplica.handOver(() => this.machine.kill());
   }
 
   restart(view: ClaimView | undefined): void {
     this.machine.restart();
-    this.stopping = false;
+    this.isStopping = false;
     this.start();
     if (view !== undefined) this.claimReplica.setView(view);
   }
@@ -76,7 +76,7 @@
         return;
       }
       onDecision('granted');
-      clock.schedule(WORK_MS, () => handle.onAnswered());
+      clock.schedule(EXECUTION_MS, () => handle.onAnswered());
     });
   }
 
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -38,7 +38,7 @@
 const FAULT_CHANCE_PER_STEP = 0.03;
 const MAX_FAULT_MS = 3_000;
 /** Nodes that may be down or cut off together. */
-const MAX_DISTURBED = 2;
+const MAX_FAULTY_NODES = 2;
 const ZONE_LATENCY_MS = 1;
 /** Silence counts this many times here, so that views change more often than in the product. */
 const SILENCE_FACTOR = 30;
@@ -49,11 +49,11 @@
   readonly network: SimNetwork;
   private readonly nodes: ClaimNode[];
   private view: ClaimView | undefined;
-  private readonly heardAt = new Map<string, number>();
-  private readonly runs = new Map<string, number>();
-  private readonly decisions = new Map<string, number>();
+  private readonly lastSeenAt = new Map<string, number>();
+  private readonly runCounts = new Map<string, number>();
+  private readonly decisionCounts = new Map<string, number>();
   private readonly recentKeys: string[] = [];
-  private keys = 0;
+  private keyCount = 0;
 
   constructor(private readonly run: ClaimRun) {
     this.random = new SeededRandom(run.seed);
@@ -68,7 +68,7 @@
     });
   }
 
-  claimKeeper(id: string): ClaimNode {
+  claimReplicaHost(id: string): ClaimNode {
     return this.nodes.find((node) => node.id === id)!;
   }
 
@@ -76,14 +76,14 @@
     for (let step = 0; this.clock.now() < this.run.durationMs; step += 1) {
       if (step % VIEW_STEPS === 0) this.planView();
       for (let call = 0; call < CALLS_PER_STEP; call += 1) this.sendCall();
-      if (this.random.next() < FAULT_CHANCE_PER_STEP) this.disturb();
+      if (this.random.next() < FAULT_CHANCE_PER_STEP) this.injectFault();
       this.clock.advance(STEP_MS);
     }
-    const violations = [...this.runs]
+    const violations = [...this.runCounts]
       .filter(([, count]) => count > 1)
       .map(([key, count]) => `${key} ran ${count} times`);
     const { seed } = this.run;
-    return { seed, violations, ran: this.runs.size, decisions: this.decisions };
+    return { seed, violations, ran: this.runCounts.size, decisions: this.decisionCounts };
   }
 
   private sendCall(): void {
@@ -92,8 +92,8 @@
     const node = live[this.random.below(live.length)];
     node?.machine.run(() => {
       node.call(key, (decision) => {
-        this.decisions.set(decision, (this.decisions.get(decision) ?? 0) + 1);
-        if (decision === 'granted') this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
+        this.decisionCounts.set(decision, (this.decisionCounts.get(decision) ?? 0) + 1);
+        if (decision === 'granted') this.runCounts.set(key, (this.runCounts.get(key) ?? 0) + 1);
       });
     });
   }
@@ -102,8 +102,8 @@
     if (this.recentKeys.length > 0 && this.random.next() < RESEND_CHANCE) {
       return this.recentKeys[this.random.below(this.recentKeys.length)]!;
     }
-    this.keys += 1;
-    const key = `key-${this.keys}`;
+    this.keyCount += 1;
+    const key = `key-${this.keyCount}`;
     this.recentKeys.push(key);
     if (this.recentKeys.length > RECENT_KEYS) {
       // Now and then an old key comes again much later.
@@ -112,19 +112,19 @@
     return key;
   }
 
-  private disturb(): void {
-    const steady = this.nodes.filter((node) => !node.isDisturbed);
-    if (this.nodes.length - steady.length >= MAX_DISTURBED) return;
-    const node = steady[this.random.below(steady.length)]!;
+  private injectFault(): void {
+    const healthy = this.nodes.filter((node) => !node.isFaulty);
+    if (this.nodes.length - healthy.length >= MAX_FAULTY_NODES) return;
+    const node = healthy[this.random.below(healthy.length)]!;
     const kind = this.random.below(4);
     if (kind === 0) node.crash();
     else if (kind === 1) node.stop();
     else if (kind === 2) node.machine.freeze();
     else node.machine.cut = 'both';
-    this.clock.schedule(this.random.next() * MAX_FAULT_MS, () => this.settle(node));
+    this.clock.schedule(this.random.next() * MAX_FAULT_MS, () => this.recover(node));
   }
 
-  private settle(node: ClaimNode): void {
+  private recover(node: ClaimNode): void {
     node.machine.cut = undefined;
     if (node.machine.isFrozen) node.machine.thaw();
     if (!node.machine.alive) node.restart(this.view);
@@ -133,13 +133,13 @@
   /** Stands for control: the node list follows with a delay, and views follow it. */
   private planView(): void {
     const now = this.clock.now();
-    const heard = this.nodes.filter((node) => !node.isDisturbed);
-    for (const node of heard) this.heardAt.set(node.id, now);
+    const reachable = this.nodes.filter((node) => !node.isFaulty);
+    for (const node of reachable) this.lastSeenAt.set(node.id, now);
     const next = nextClaimView({
       service: SERVICE,
       current: this.view,
-      candidates: heard.map((node) => node.candidate()),
-      silentForMs: (id) => (now - (this.heardAt.get(id) ?? now)) * SILENCE_FACTOR,
+      candidates: reachable.map((node) => node.candidate()),
+      silentForMs: (id) => (now - (this.lastSeenAt.get(id) ?? now)) * SILENCE_FACTOR,
     });
     if (next === undefined) return;
     this.view = next;
--- a/lab/simulator/direct-path.ts
+++ b/lab/simulator/direct-path.ts
@@ -14,7 +14,7 @@
 const HOP_RETRIES = 2;
 const HOP_TIMEOUT_MS = 1_000;
 const STATUS_OK = 200;
-const STATUS_BROKEN = 0;
+const STATUS_CONNECTION_FAILED = 0;
 /** Targets have no deadline to go by. */
 const NO_DEADLINE = Number.MAX_SAFE_INTEGER;
 
@@ -31,7 +31,7 @@
   ) {}
 
   /** A caller's attempt. Callers retry by themselves. */
-  fromCaller(attempt: CallerAttempt, done: (answer: AttemptAnswer) => void): Cancellable {
+  sendFromCaller(attempt: CallerAttempt, done: (answer: AttemptAnswer) => void): Cancellable {
     const service = this.world.table.matchKind(attempt.method, attempt.path)?.service ?? '';
     return this.send(undefined, service, attempt, (status) => {
       const check = status === STATUS_OK ? 'whole' : undefined;
@@ -40,7 +40,7 @@
   }
 
   /** A target's call to another service, with retries. */
-  fromTarget(
+  sendFromTarget(
     from: SimMachine,
     call: NestedCallModel,
     labId: string,
@@ -71,16 +71,16 @@
     request: DirectRequest,
     done: (status: number) => void,
   ): Cancellable {
-    let over = false;
+    let isDone = false;
     const finish = (status: number): void => {
-      if (over) return;
-      over = true;
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       done(status);
     };
     const timer = this.world.clock.schedule(HOP_TIMEOUT_MS, () => {
       handle.cancel();
-      finish(STATUS_BROKEN);
+      finish(STATUS_CONNECTION_FAILED);
     });
     const handle = this.send(from, service, request, finish);
     return handle;
@@ -97,17 +97,17 @@
     const target = targets[this.random.below(targets.length)];
     let call: BackendCall | undefined;
     let cancelled = false;
-    const back = (status: number): void => {
+    const respond = (status: number): void => {
       if (target === undefined || cancelled) return;
-      this.travel(target, from, () => {
+      this.deliverResponse(target, from, () => {
         if (!cancelled) done(status);
       });
     };
-    if (target === undefined) done(STATUS_BROKEN);
+    if (target === undefined) done(STATUS_CONNECTION_FAILED);
     else {
-      this.travelTo(from, target, () => {
+      this.deliverRequest(from, target, () => {
         if (cancelled) return;
-        call = target.backend.accept({ ...request, deadlineAt: NO_DEADLINE }, back);
+        call = target.backend.accept({ ...request, deadlineAt: NO_DEADLINE }, respond);
       });
     }
     return {
@@ -118,13 +118,17 @@
     };
   }
 
-  private travelTo(from: SimMachine | undefined, target: SimTarget, arrive: () => void): void {
+  private deliverRequest(
+    from: SimMachine | undefined,
+    target: SimTarget,
+    arrive: () => void,
+  ): void {
     const { network } = this.world;
     if (from !== undefined) network.send(from, target.machine, arrive);
     else this.world.clock.schedule(this.world.clientLatencyMs(), () => target.machine.run(arrive));
   }
 
-  private travel(target: SimTarget, to: SimMachine | undefined, arrive: () => void): void {
+  private deliverResponse(target: SimTarget, to: SimMachine | undefined, arrive: () => void): void {
     const { network } = this.world;
     if (to !== undefined) network.send(target.machine, to, arrive);
     else this.world.clock.schedule(this.world.clientLatencyMs(), arrive);
--- a/lab/simulator/local-claims.ts
+++ b/lab/simulator/local-claims.ts
@@ -17,7 +17,7 @@
   constructor(private readonly clock: Clock) {}
 
   claim(key: string, decide: (decision: ClaimDecision) => void): ClaimHandle {
-    this.forgetExpired();
+    this.evictExpired();
     const existing = this.records.get(key);
     if (existing !== undefined) {
       decide(heldDecision(existing));
@@ -41,7 +41,7 @@
   }
 
   /** Records are in order of expiry, so the oldest are at the front. */
-  private forgetExpired(): void {
+  private evictExpired(): void {
     const now = this.clock.now();
     for (const [key, record] of this.records) {
       if (record.expiresAt > now) return;
--- a/lab/simulator/replication/replication-checker.ts
+++ b/lab/simulator/replication/replication-checker.ts
@@ -14,7 +14,7 @@
 }
 
 /** What must be visible to whatever begins now. */
-export interface Horizon {
+export interface AcknowledgedState {
   /** Highest revision that anyone was told of. */
   readonly revision: number;
   /** Highest revision told per resource key. */
@@ -22,22 +22,22 @@
 }
 
 /** A client was told of a revision. */
-interface Telling {
+interface Acknowledgement {
   readonly revision: number;
   readonly at: number;
 }
 
 export class ReplicationChecker {
   readonly violations: string[] = [];
-  private readonly leaders = new Map<number, string>();
+  private readonly leadersByTerm = new Map<number, string>();
   /** Which change made each revision. */
-  private readonly witness = new Map<number, string>();
-  private readonly contents = new Map<number, string>();
-  private readonly told = new Map<string, number>();
+  private readonly changeIdsByRevision = new Map<number, string>();
+  private readonly contentsByRevision = new Map<number, string>();
+  private readonly acknowledgedVersions = new Map<string, number>();
   private readonly accepted: AcceptedChange[] = [];
-  private toldRevision = 0;
+  private acknowledgedRevision = 0;
   /** When clients were told of each revision that was higher than all before. */
-  private readonly tellings: Telling[] = [];
+  private readonly acknowledgements: Acknowledgement[] = [];
   private inForce = 0;
 
   /** @param now milliseconds of the run */
@@ -56,19 +56,19 @@
   onRaftMessage(message: RaftMessage): void {
     if (message.type !== 'append-request') return;
     const { term, from } = message;
-    const known = this.leaders.get(term);
-    if (known === undefined) this.leaders.set(term, from.identity);
+    const known = this.leadersByTerm.get(term);
+    if (known === undefined) this.leadersByTerm.set(term, from.identity);
     else if (known !== from.identity) {
-      this.violate(`term ${term} has two leaders, ${known} and ${from.identity}`);
+      this.addViolation(`term ${term} has two leaders, ${known} and ${from.identity}`);
     }
   }
 
   onApplied(replica: string, command: ResourceCommand, result: ResourceResult): void {
     if (result.type !== 'accepted') return;
-    const known = this.witness.get(result.revision);
-    if (known === undefined) this.witness.set(result.revision, command.changeId);
+    const known = this.changeIdsByRevision.get(result.revision);
+    if (known === undefined) this.changeIdsByRevision.set(result.revision, command.changeId);
     else if (known !== command.changeId) {
-      this.violate(
+      this.addViolation(
         `${replica} made revision ${result.revision} of ${command.changeId}, not ${known}`,
       );
     }
@@ -80,38 +80,44 @@
   }
 
   compareContents(holder: string, revision: number, contents: string): void {
-    const known = this.contents.get(revision);
-    if (known === undefined) this.contents.set(revision, contents);
+    const known = this.contentsByRevision.get(revision);
+    if (known === undefined) this.contentsByRevision.set(revision, contents);
     else if (known !== contents) {
-      this.violate(`${holder} differs from the others at revision ${revision}`);
+      this.addViolation(`${holder} differs from the others at revision ${revision}`);
     }
   }
 
   /** What an operation that begins now must see. */
-  horizon(): Horizon {
-    return { revision: this.toldRevision, versions: new Map(this.told) };
+  acknowledgedState(): AcknowledgedState {
+    return { revision: this.acknowledgedRevision, versions: new Map(this.acknowledgedVersions) };
   }
 
   /** A client was told how its change ended. */
-  onChangeAnswered(command: ResourceCommand, result: ResourceResult, begun: Horizon): void {
+  onChangeAnswered(
+    command: ResourceCommand,
+    result: ResourceResult,
+    stateAtStart: AcknowledgedState,
+  ): void {
     const id = command.type === 'put' ? resourceIdOf(command.resource) : command.target;
     const key = resourceKey(id);
-    if (result.type === 'accepted') this.onAccepted(command, result.revision, key, begun);
+    if (result.type === 'accepted') this.onAccepted(command, result.revision, key, stateAtStart);
     if (result.type === 'conflict') {
       const version = result.current?.version ?? 0;
-      const expected = begun.versions.get(key) ?? 0;
+      const expected = stateAtStart.versions.get(key) ?? 0;
       if (result.current !== undefined && version < expected) {
-        this.violate(`${command.changeId} met version ${version} of ${key} after ${expected}`);
+        this.addViolation(`${command.changeId} met version ${version} of ${key} after ${expected}`);
       }
     }
   }
 
   /** A client was told a revision. */
-  onRead(revision: number, begun: Horizon): void {
-    if (revision < begun.revision) {
-      this.violate(`a read gave revision ${revision} after ${begun.revision} had been told`);
+  onRead(revision: number, stateAtStart: AcknowledgedState): void {
+    if (revision < stateAtStart.revision) {
+      this.addViolation(
+        `a read gave revision ${revision} after ${stateAtStart.revision} had been told`,
+      );
     }
-    this.tell(revision);
+    this.recordAcknowledged(revision);
   }
 
   onFollowerApplied(
@@ -121,19 +127,23 @@
     inForceAtStart: number,
   ): void {
     if (previous !== undefined && revision < previous) {
-      this.violate(`${follower} went back from revision ${previous} to ${revision}`);
+      this.addViolation(`${follower} went back from revision ${previous} to ${revision}`);
     }
     if (previous === undefined && revision < inForceAtStart) {
-      this.violate(`${follower} started with ${revision} while ${inForceAtStart} was in force`);
+      this.addViolation(
+        `${follower} started with ${revision} while ${inForceAtStart} was in force`,
+      );
     }
   }
 
   /** A follower believes that it lacks nothing which was told before `provenAt`. */
-  onProven(follower: string, applied: number, provenAt: number): void {
-    const missed = this.tellings.find(({ revision, at }) => at < provenAt && revision > applied);
+  onFollowerProof(follower: string, applied: number, provenAt: number): void {
+    const missed = this.acknowledgements.find(
+      ({ revision, at }) => at < provenAt && revision > applied,
+    );
     if (missed === undefined) return;
     const { revision, at } = missed;
-    this.violate(
+    this.addViolation(
       `${follower} stands at ${applied}, proven for ${provenAt} ms; ${revision} was told at ${at} ms`,
     );
   }
@@ -143,44 +153,49 @@
   }
 
   /** At the end: everything that was accepted stands in the final order. */
-  checkEnd(finalRevision: number): void {
+  checkFinalState(finalRevision: number): void {
     for (const { changeId, revision } of this.accepted) {
-      if (this.witness.get(revision) !== changeId) {
-        this.violate(`${changeId} was accepted as revision ${revision} and is lost`);
+      if (this.changeIdsByRevision.get(revision) !== changeId) {
+        this.addViolation(`${changeId} was accepted as revision ${revision} and is lost`);
       }
       if (revision > finalRevision) {
-        this.violate(`revision ${revision} was accepted; the store ended at ${finalRevision}`);
+        this.addViolation(`revision ${revision} was accepted; the store ended at ${finalRevision}`);
       }
     }
   }
 
-  violate(text: string): void {
+  addViolation(text: string): void {
     this.violations.push(text);
   }
 
-  private tell(revision: number): void {
-    if (revision > this.toldRevision) this.tellings.push({ revision, at: this.now() });
-    this.toldRevision = Math.max(this.toldRevision, revision);
+  private recordAcknowledged(revision: number): void {
+    if (revision > this.acknowledgedRevision)
+      this.acknowledgements.push({ revision, at: this.now() });
+    this.acknowledgedRevision = Math.max(this.acknowledgedRevision, revision);
   }
 
   private onAccepted(
     command: ResourceCommand,
     revision: number,
     key: string,
-    begun: Horizon,
+    stateAtStart: AcknowledgedState,
   ): void {
     const { changeId } = command;
     const isRepeat = this.accepted.some((other) => other.changeId === changeId);
     if (
       this.accepted.some((other) => (other.changeId === changeId) !== (other.revision === revision))
     ) {
-      this.violate(`${changeId} and another change were answered inconsistently at ${revision}`);
+      this.addViolation(
+        `${changeId} and another change were answered inconsistently at ${revision}`,
+      );
     }
-    if (revision <= begun.revision) {
-      this.violate(`${changeId} became revision ${revision} after ${begun.revision} was told`);
+    if (revision <= stateAtStart.revision) {
+      this.addViolation(
+        `${changeId} became revision ${revision} after ${stateAtStart.revision} was told`,
+      );
     }
     if (!isRepeat) this.accepted.push({ changeId, revision });
-    this.tell(revision);
-    this.told.set(key, Math.max(this.told.get(key) ?? 0, revision));
+    this.recordAcknowledged(revision);
+    this.acknowledgedVersions.set(key, Math.max(this.acknowledgedVersions.get(key) ?? 0, revision));
   }
 }
--- a/lab/simulator/replication/replication-faults.ts
+++ b/lab/simulator/replication/replication-faults.ts
@@ -16,18 +16,18 @@
   /** What was done, with times. */
   readonly log: string[] = [];
   private readonly faults: readonly Fault[];
-  private healed = false;
+  private haveFaultsEnded = false;
 
   constructor(private readonly world: ReplicationWorld) {
     this.faults = [
       (replica) => this.crash(replica),
       (replica) => this.stop(replica),
       (replica) => this.freeze(replica.machine),
-      (replica) => this.cut(replica.machine),
+      (replica) => this.disconnect(replica.machine),
       (replica) => this.loseDisk(replica),
       (replica) => this.fillDisk(replica),
       () => this.restartFollower(),
-      () => this.cutFollower(),
+      () => this.disconnectFollower(),
     ];
   }
 
@@ -43,11 +43,11 @@
   }
 
   /** Ends every fault and starts what is down. */
-  healAll(): void {
-    this.healed = true;
+  endAllFaults(): void {
+    this.haveFaultsEnded = true;
     const { replicas, followers } = this.world;
     for (const replica of replicas) replica.disk.full = false;
-    for (const { machine } of [...replicas, ...followers]) this.mend(machine);
+    for (const { machine } of [...replicas, ...followers]) this.restoreMachine(machine);
     for (const process of [...replicas, ...followers]) {
       if (!process.machine.alive) process.restart();
     }
@@ -59,46 +59,46 @@
 
   private crash(replica: SimReplica): void {
     if (!replica.machine.alive) return;
-    this.note(`crash ${replica.name}`);
+    this.logFault(`crash ${replica.name}`);
     replica.crash();
-    this.later(() => this.bringBack(replica));
+    this.scheduleRecovery(() => this.restartIfDown(replica));
   }
 
   private stop(replica: SimReplica): void {
     if (!replica.machine.alive || replica.machine.isFrozen) return;
-    this.note(`stop ${replica.name}`);
+    this.logFault(`stop ${replica.name}`);
     replica.stop();
-    this.later(() => this.bringBack(replica));
+    this.scheduleRecovery(() => this.restartIfDown(replica));
   }
 
   private freeze(machine: SimMachine): void {
     if (!machine.alive) return;
-    this.note(`freeze ${machine.id}`);
+    this.logFault(`freeze ${machine.id}`);
     machine.freeze();
-    this.later(() => machine.thaw());
+    this.scheduleRecovery(() => machine.thaw());
   }
 
-  private cut(machine: SimMachine): void {
+  private disconnect(machine: SimMachine): void {
     const direction = CUT_DIRECTIONS[this.world.random.below(CUT_DIRECTIONS.length)]!;
-    this.note(`cut ${direction} ${machine.id}`);
+    this.logFault(`cut ${direction} ${machine.id}`);
     machine.cut = direction;
-    this.later(() => this.uncut(machine));
+    this.scheduleRecovery(() => this.reconnect(machine));
   }
 
   /** A disk is lost only while the store is whole: with two lost at once no store can help. */
   private loseDisk(replica: SimReplica): void {
-    if (!replica.machine.alive || !this.isWhole()) return;
-    this.note(`lose disk ${replica.name}`);
+    if (!replica.machine.alive || !this.areAllVotersSettled()) return;
+    this.logFault(`lose disk ${replica.name}`);
     replica.crash();
     replica.disk.wipe();
-    this.later(() => this.bringBack(replica));
+    this.scheduleRecovery(() => this.restartIfDown(replica));
   }
 
   private fillDisk(replica: SimReplica): void {
     if (!replica.machine.alive) return;
-    this.note(`fill disk ${replica.name}`);
+    this.logFault(`fill disk ${replica.name}`);
     replica.disk.full = true;
-    this.later(() => {
+    this.scheduleRecovery(() => {
       replica.disk.full = false;
       if (replica.running?.phase === 'failed') this.restartNow(replica);
     });
@@ -108,21 +108,21 @@
     const { random, followers } = this.world;
     const follower = followers[random.below(followers.length)]!;
     if (!follower.machine.alive) return;
-    this.note(`restart ${follower.machine.id}`);
+    this.logFault(`restart ${follower.machine.id}`);
     follower.crash();
     follower.restart();
   }
 
-  private cutFollower(): void {
+  private disconnectFollower(): void {
     const { random, followers } = this.world;
-    this.cut(followers[random.below(followers.length)]!.machine);
+    this.disconnect(followers[random.below(followers.length)]!.machine);
   }
 
   /**
    * Whether a leader reports every voter in place: as many as there should be, each the replica that
    * runs under that name now. This is what `status` shows as a finished repair.
    */
-  private isWhole(): boolean {
+  private areAllVotersSettled(): boolean {
     const { replicas } = this.world;
     const leader = replicas.find((replica) => {
       const status = replica.running?.raftStatus;
@@ -136,7 +136,7 @@
     });
   }
 
-  private bringBack(replica: SimReplica): void {
+  private restartIfDown(replica: SimReplica): void {
     if (!replica.machine.alive) replica.restart();
   }
 
@@ -145,23 +145,23 @@
     replica.restart();
   }
 
-  private mend(machine: SimMachine): void {
-    this.uncut(machine);
+  private restoreMachine(machine: SimMachine): void {
+    this.reconnect(machine);
     if (machine.isFrozen) machine.thaw();
   }
 
-  private uncut(machine: SimMachine): void {
+  private reconnect(machine: SimMachine): void {
     machine.cut = undefined;
   }
 
-  private later(work: () => void): void {
+  private scheduleRecovery(work: () => void): void {
     const { clock, random } = this.world;
     clock.schedule(random.next() * MAX_FAULT_MS, () => {
-      if (!this.healed) work();
+      if (!this.haveFaultsEnded) work();
     });
   }
 
-  private note(text: string): void {
+  private logFault(text: string): void {
     this.log.push(`${Math.round(this.world.clock.now())} ms: ${text}`);
   }
 }
--- a/lab/simulator/replication/replication-network.ts
+++ b/lab/simulator/replication/replication-network.ts
@@ -13,19 +13,19 @@
 const REORDER_SPREAD_MS = 40;
 
 /** Chances of each message between replicas. */
-const DROPPED = 0.02;
-const REPEATED = 0.03;
-const DELAYED = 0.1;
+const DROP_CHANCE = 0.02;
+const DUPLICATE_CHANCE = 0.03;
+const DELAY_CHANCE = 0.1;
 
 export class ReplicationNetwork {
-  readonly links: SimNetwork;
+  readonly network: SimNetwork;
   private readonly replicas = new Map<string, SimReplica>();
 
   constructor(
     readonly clock: VirtualClock,
     private readonly random: RandomSource,
   ) {
-    this.links = new SimNetwork({
+    this.network = new SimNetwork({
       clock,
       random,
       zoneLatencyMs: ZONE_LATENCY_MS,
@@ -33,8 +33,8 @@
   }
 
   /** What an exchange of messages needs of the network. */
-  get ends(): Pick<ExchangeLink, 'clock' | 'network'> {
-    return { clock: this.clock, network: this.links };
+  get exchangeDefaults(): Pick<ExchangeLink, 'clock' | 'network'> {
+    return { clock: this.clock, network: this.network };
   }
 
   addReplica(replica: SimReplica): void {
@@ -43,18 +43,18 @@
 
   sendRaft(from: SimMachine, to: MessageTarget, bytes: Uint8Array): void {
     const receiver = this.replicas.get(to.origin);
-    if (receiver === undefined || this.chance(DROPPED)) return;
+    if (receiver === undefined || this.isDrawn(DROP_CHANCE)) return;
     const deliver = (): void => receiver.receiveRaft(to.identity, bytes);
     this.deliver(from, receiver.machine, deliver);
-    if (this.chance(REPEATED)) this.deliver(from, receiver.machine, deliver);
+    if (this.isDrawn(DUPLICATE_CHANCE)) this.deliver(from, receiver.machine, deliver);
   }
 
   private deliver(from: SimMachine, to: SimMachine, work: () => void): void {
-    const extraMs = this.chance(DELAYED) ? this.random.next() * REORDER_SPREAD_MS : 0;
-    this.clock.schedule(extraMs, () => this.links.send(from, to, work));
+    const extraMs = this.isDrawn(DELAY_CHANCE) ? this.random.next() * REORDER_SPREAD_MS : 0;
+    this.clock.schedule(extraMs, () => this.network.send(from, to, work));
   }
 
-  private chance(probability: number): boolean {
+  private isDrawn(probability: number): boolean {
     return this.random.next() < probability;
   }
 }
--- a/lab/simulator/replication/replication-world.ts
+++ b/lab/simulator/replication/replication-world.ts
@@ -33,7 +33,7 @@
   readonly faultMs: number;
   readonly mechanisms: ReplicationMechanisms;
   /** Whether followers ask how old their configuration may be, and are checked for it. Default false. */
-  readonly followersProve?: boolean;
+  readonly tracksFollowerStaleness?: boolean;
 }
 
 /** What a run gave. */
@@ -43,7 +43,7 @@
   /** Changes that operators were told are accepted. */
   readonly accepted: number;
   /** Milliseconds after the last fault until a new change was in force at every follower. */
-  readonly healedAfterMs: number | undefined;
+  readonly recoveredAfterMs: number | undefined;
   /** What was done to the store, in order. */
   readonly faults: readonly string[];
   /** Time over all followers for which one was checked against its proof, in milliseconds. */
@@ -65,7 +65,7 @@
 ];
 const WRITERS = 3;
 const FOLLOWERS = 4;
-const HEAL_LIMIT_MS = 20_000;
+const RECOVERY_TIMEOUT_MS = 20_000;
 const STEP_MS = 20;
 
 export class ReplicationWorld {
@@ -91,8 +91,8 @@
     this.followers = Array.from({ length: FOLLOWERS }, (_, index) => {
       const zone = PLACEMENTS[index % PLACEMENTS.length]!.zone;
       const { replicas, network, checker, random } = this;
-      const proves = run.followersProve ?? false;
-      return new SimFollower(`node-${index + 1}`, zone, replicas, network, checker, random, proves);
+      const tracksStaleness = run.tracksFollowerStaleness ?? false;
+      return new SimFollower(`node-${index + 1}`, zone, replicas, network, checker, random, tracksStaleness);
     });
   }
 
@@ -103,19 +103,19 @@
       this.step();
       faults.maybeInject();
     }
-    faults.healAll();
-    const healedAfterMs = this.waitUntilHealed();
-    this.checker.checkEnd(this.highestRevision());
-    if (healedAfterMs === undefined) {
-      this.checker.violate(
-        `changes were not in force everywhere ${HEAL_LIMIT_MS} ms after the faults`,
+    faults.endAllFaults();
+    const recoveredAfterMs = this.waitUntilRecovered();
+    this.checker.checkFinalState(this.highestRevision());
+    if (recoveredAfterMs === undefined) {
+      this.checker.addViolation(
+        `changes were not in force everywhere ${RECOVERY_TIMEOUT_MS} ms after the faults`,
       );
     }
     return {
       seed: this.run.seed,
       violations: this.checker.violations,
       accepted: this.checker.acceptedCount,
-      healedAfterMs,
+      recoveredAfterMs,
       faults: faults.log,
       provenMs: this.provenMs,
     };
@@ -130,8 +130,8 @@
       checker: this.checker,
       seed: seed * PLACEMENTS.length + index,
       mechanisms,
-      answersBeforeSync: !mechanisms.syncBeforeAnswer,
-      keepsIdentity: !mechanisms.newIdentity,
+      acknowledgesBeforeSync: !mechanisms.syncBeforeAnswer,
+      reusesIdentity: !mechanisms.newIdentity,
     });
   }
 
@@ -145,22 +145,22 @@
   private checkProof({ machine, provenAt, appliedRevision }: SimFollower): void {
     if (provenAt === undefined || appliedRevision === undefined) return;
     this.provenMs += STEP_MS;
-    this.checker.onProven(machine.id, appliedRevision, provenAt);
+    this.checker.onFollowerProof(machine.id, appliedRevision, provenAt);
   }
 
   /** Lets operators go on until a change made after the faults is in force at every follower. */
-  private waitUntilHealed(): number | undefined {
-    const healedAt = this.clock.now();
+  private waitUntilRecovered(): number | undefined {
+    const faultsEndedAt = this.clock.now();
     const goal = this.checker.acceptedCount + 1;
-    while (this.clock.now() - healedAt < HEAL_LIMIT_MS) {
+    while (this.clock.now() - faultsEndedAt < RECOVERY_TIMEOUT_MS) {
       this.step();
       if (this.checker.acceptedCount < goal) continue;
       for (const writer of this.writers) writer.stop();
-      const target = this.checker.horizon().revision;
+      const target = this.checker.acknowledgedState().revision;
       const everywhere = this.followers.every(({ appliedRevision }) => {
         return appliedRevision !== undefined && appliedRevision >= target;
       });
-      if (everywhere) return this.clock.now() - healedAt;
+      if (everywhere) return this.clock.now() - faultsEndedAt;
     }
     return undefined;
   }
--- a/lab/simulator/replication/sim-disk.ts
+++ b/lab/simulator/replication/sim-disk.ts
@@ -16,7 +16,7 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Lab only: a disk that says that a write is synced before it is. */
-  readonly answersBeforeSync: boolean;
+  readonly acknowledgesBeforeSync: boolean;
 }
 
 interface UnsyncedAppend {
@@ -34,7 +34,7 @@
   private appends: UnsyncedAppend[] = [];
   private replacements: UnsyncedReplacement[] = [];
   /** Counts crashes: operations of an earlier start end nowhere. */
-  private era = 0;
+  private incarnation = 0;
   /** Every write fails while the disk is full. */
   full = false;
 
@@ -42,18 +42,18 @@
 
   /** The files as the process that now starts sees them. */
   mount(): StorageFiles {
-    const { era } = this;
+    const { incarnation } = this;
     return {
       read: (name) => this.synced.get(name),
-      replace: (name, bytes, done) => this.replace(era, name, bytes, done),
-      openAppend: (name, size) => this.openAppend(era, name, size),
+      replace: (name, bytes, done) => this.replace(incarnation, name, bytes, done),
+      openAppend: (name, size) => this.openAppend(incarnation, name, size),
     };
   }
 
   /** The machine stops at once. */
   crash(): void {
-    this.era += 1;
-    for (const { name, bytes } of this.appends) this.keepPart(name, bytes);
+    this.incarnation += 1;
+    for (const { name, bytes } of this.appends) this.keepPrefix(name, bytes);
     for (const { name, bytes } of this.replacements) {
       if (this.options.random.next() < 0.5) this.synced.set(name, Buffer.from(bytes));
     }
@@ -67,7 +67,7 @@
     this.full = false;
   }
 
-  private keepPart(name: string, bytes: Uint8Array): void {
+  private keepPrefix(name: string, bytes: Uint8Array): void {
     const kept = this.options.random.below(bytes.length + 1);
     this.addSynced(name, bytes.subarray(0, kept));
   }
@@ -77,55 +77,56 @@
     this.synced.set(name, Buffer.concat([before, bytes]));
   }
 
-  private openAppend(era: number, name: string, size: number): AppendFile {
+  private openAppend(incarnation: number, name: string, size: number): AppendFile {
     this.synced.set(name, (this.synced.get(name) ?? Buffer.alloc(0)).subarray(0, size));
     return {
-      append: (bytes, done) => this.append(era, name, bytes, done),
+      append: (bytes, done) => this.append(incarnation, name, bytes, done),
       close: () => undefined,
     };
   }
 
-  private append(era: number, name: string, bytes: Uint8Array, done: FileCallback): void {
-    if (this.refuses(era, done)) return;
+  private append(incarnation: number, name: string, bytes: Uint8Array, done: FileCallback): void {
+    if (this.rejectsWrite(incarnation, done)) return;
     const unsynced: UnsyncedAppend = { name, bytes };
     this.appends.push(unsynced);
-    this.afterSync(era, done, () => {
+    this.afterSync(incarnation, done, () => {
       this.appends = this.appends.filter((other) => other !== unsynced);
       this.addSynced(name, bytes);
     });
   }
 
-  private replace(era: number, name: string, bytes: Uint8Array, done: FileCallback): void {
-    if (this.refuses(era, done)) return;
+  private replace(incarnation: number, name: string, bytes: Uint8Array, done: FileCallback): void {
+    if (this.rejectsWrite(incarnation, done)) return;
     const unsynced: UnsyncedReplacement = { name, bytes };
     this.replacements.push(unsynced);
-    this.afterSync(era, done, () => {
+    this.afterSync(incarnation, done, () => {
       this.replacements = this.replacements.filter((other) => other !== unsynced);
       this.synced.set(name, Buffer.from(bytes));
     });
   }
 
-  private refuses(era: number, done: FileCallback): boolean {
-    if (!this.full) return era !== this.era;
+  private rejectsWrite(incarnation: number, done: FileCallback): boolean {
+    if (!this.full) return incarnation !== this.incarnation;
     this.options.clock.schedule(0, () => {
-      if (era === this.era) done(new StorageError('No space is left on the disk.'));
+      if (incarnation === this.incarnation) done(new StorageError('No space is left on the disk.'));
     });
     return true;
   }
 
-  private afterSync(era: number, done: FileCallback, sync: () => void): void {
-    const { clock, random, answersBeforeSync } = this.options;
+  private afterSync(incarnation: number, done: FileCallback, sync: () => void): void {
+    const { clock, random, acknowledgesBeforeSync } = this.options;
     const delayMs = SYNC_MIN_MS + SYNC_SPREAD_MS * random.next();
-    if (answersBeforeSync) clock.schedule(0, () => this.runIn(era, () => done(undefined)));
+    if (acknowledgesBeforeSync)
+      clock.schedule(0, () => this.runIfCurrent(incarnation, () => done(undefined)));
     clock.schedule(delayMs, () => {
-      this.runIn(era, () => {
+      this.runIfCurrent(incarnation, () => {
         sync();
-        if (!answersBeforeSync) done(undefined);
+        if (!acknowledgesBeforeSync) done(undefined);
       });
     });
   }
 
-  private runIn(era: number, work: () => void): void {
-    if (era === this.era) work();
+  private runIfCurrent(incarnation: number, work: () => void): void {
+    if (incarnation === this.incarnation) work();
   }
 }
--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -31,7 +31,7 @@
     private readonly network: ReplicationNetwork,
     private readonly checker: ReplicationChecker,
     private readonly random: RandomSource,
-    private readonly proves: boolean,
+    private readonly tracksStaleness: boolean,
   ) {
     this.machine = new SimMachine(name, zone);
   }
@@ -45,18 +45,18 @@
    * Asks every replica now and then how old its configuration may be, as followers do.
    * Off in runs whose seeds were drawn before there were such heartbeats.
    */
-  beat(): void {
+  sendHeartbeats(): void {
     const { network, machine, replicas } = this;
     const clock = new MachineClock(network.clock, machine);
     const sentAt = clock.now();
     for (const replica of replicas) {
       exchange<ConfirmedRevision>(
-        { ...network.ends, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
+        { ...network.exchangeDefaults, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
         (answer) => replica.heartbeat(answer),
-        (reply) => this.onReply(reply, sentAt),
+        (reply) => this.onHeartbeatReply(reply, sentAt),
       );
     }
-    clock.schedule(HEARTBEAT_MS, () => this.beat());
+    clock.schedule(HEARTBEAT_MS, () => this.sendHeartbeats());
   }
 
   /** Every change that was acknowledged before this time is in force here, as the process believes. */
@@ -66,7 +66,7 @@
     return clock.now() - this.proof.ageMs(clock.now());
   }
 
-  private onReply(reply: ConfirmedRevision | undefined, sentAt: number): void {
+  private onHeartbeatReply(reply: ConfirmedRevision | undefined, sentAt: number): void {
     if (reply?.confirmedAgeMs === undefined) return;
     const { revision, confirmedAgeMs } = reply;
     const provenAt = sentAt - confirmedAgeMs;
@@ -75,11 +75,11 @@
 
   start(): void {
     this.proof = new ConfigurationProof();
-    if (this.proves) this.beat();
+    if (this.tracksStaleness) this.sendHeartbeats();
     this.view = new ConfigurationView();
     this.applied = undefined;
     this.inForceAtStart = this.checker.inForceRevision;
-    this.ask();
+    this.sync();
   }
 
   crash(): void {
@@ -91,17 +91,17 @@
     this.start();
   }
 
-  private ask(): void {
+  private sync(): void {
     const { network, machine, random, replicas } = this;
     const replica = replicas[random.below(replicas.length)]!;
     const clock = new MachineClock(network.clock, machine);
     const request = this.view.request();
     exchange<SyncResponse | undefined>(
-      { ...network.ends, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
+      { ...network.exchangeDefaults, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
       (answer) => replica.sync(request, answer),
       (response) => {
         if (response !== undefined) this.apply(response);
-        clock.schedule(response === undefined ? RETRY_MS : 0, () => this.ask());
+        clock.schedule(response === undefined ? RETRY_MS : 0, () => this.sync());
       },
     );
   }
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -45,9 +45,9 @@
   readonly checker: ReplicationChecker;
   readonly seed: number;
   readonly mechanisms: RaftMechanisms;
-  readonly answersBeforeSync: boolean;
+  readonly acknowledgesBeforeSync: boolean;
   /** Lab only: a replica that lost its disk comes back under its old identity. */
-  readonly keepsIdentity: boolean;
+  readonly reusesIdentity: boolean;
 }
 
 const ELECTION_TIMEOUT_MS = 300;
@@ -62,13 +62,13 @@
   private host: ReplicaHost | undefined;
   private members = new MemberTable(0);
   private readonly random: SeededRandom;
-  private disksUsed = 0;
+  private identitiesDrawn = 0;
 
   constructor(private readonly options: SimReplicaOptions) {
-    const { name, zone, seed, network, answersBeforeSync } = options;
+    const { name, zone, seed, network, acknowledgesBeforeSync } = options;
     this.machine = new SimMachine(name, zone);
     this.random = new SeededRandom(seed);
-    this.disk = new SimDisk({ clock: network.clock, random: this.random, answersBeforeSync });
+    this.disk = new SimDisk({ clock: network.clock, random: this.random, acknowledgesBeforeSync });
   }
 
   get name(): string {
@@ -185,8 +185,8 @@
   }
 
   private drawIdentity(): string {
-    this.disksUsed += 1;
-    return this.options.keepsIdentity ? this.name : `${this.name}#${this.disksUsed}`;
+    this.identitiesDrawn += 1;
+    return this.options.reusesIdentity ? this.name : `${this.name}#${this.identitiesDrawn}`;
   }
 
   private sendRaft(to: MessageTarget, message: RaftMessage): void {
--- a/lab/simulator/replication/sim-writer.ts
+++ b/lab/simulator/replication/sim-writer.ts
@@ -9,12 +9,12 @@
 import { MachineClock } from '../machine-clock.js';
 import { exchange } from '../sim-exchange.js';
 import { SimMachine } from '../sim-network.js';
-import type { Horizon, ReplicationChecker } from './replication-checker.js';
+import type { AcknowledgedState, ReplicationChecker } from './replication-checker.js';
 import type { ReplicationNetwork } from './replication-network.js';
 import type { ChangeAnswer, SimReplica } from './sim-replica.js';
 
 const RESOURCES = 4;
-const PAUSE_MS = 120;
+const MEAN_PAUSE_MS = 120;
 const ANSWER_TIMEOUT_MS = 500;
 const RETRY_MS = 40;
 const READ_CHANCE = 0.3;
@@ -40,7 +40,7 @@
   }
 
   start(): void {
-    this.pause();
+    this.scheduleNextOperation();
   }
 
   /** Begins nothing more. */
@@ -52,45 +52,49 @@
     return new MachineClock(this.network.clock, this.machine);
   }
 
-  private pause(): void {
+  private scheduleNextOperation(): void {
     if (this.stopped) return;
-    this.clock.schedule(PAUSE_MS * 2 * this.random.next(), () => {
+    this.clock.schedule(MEAN_PAUSE_MS * 2 * this.random.next(), () => {
       if (this.random.next() < READ_CHANCE) this.read();
       else this.change();
     });
   }
 
   private read(): void {
-    const begun = this.checker.horizon();
-    this.ask<number | undefined>(
+    const stateAtStart = this.checker.acknowledgedState();
+    this.sendRequest<number | undefined>(
       (replica, answer) => replica.read(answer),
       (revision) => {
-        if (revision !== undefined) this.checker.onRead(revision, begun);
-        this.pause();
+        if (revision !== undefined) this.checker.onRead(revision, stateAtStart);
+        this.scheduleNextOperation();
       },
     );
   }
 
   private change(): void {
     const command = this.nextCommand();
-    this.send(command, this.checker.horizon());
+    this.send(command, this.checker.acknowledgedState());
   }
 
   /** Sends a change until it is answered. Every resend has the same change id. */
-  private send(command: ResourceCommand, begun: Horizon): void {
-    this.ask<ChangeAnswer>(
+  private send(command: ResourceCommand, stateAtStart: AcknowledgedState): void {
+    this.sendRequest<ChangeAnswer>(
       (replica, answer) => replica.change(command, answer),
       (answer) => {
         if (answer?.type === 'result') {
-          this.onResult(command, answer.result, begun);
-          this.pause();
-        } else this.clock.schedule(RETRY_MS, () => this.send(command, begun));
+          this.onResult(command, answer.result, stateAtStart);
+          this.scheduleNextOperation();
+        } else this.clock.schedule(RETRY_MS, () => this.send(command, stateAtStart));
       },
     );
   }
 
-  private onResult(command: ResourceCommand, result: ResourceResult, begun: Horizon): void {
-    this.checker.onChangeAnswered(command, result, begun);
+  private onResult(
+    command: ResourceCommand,
+    result: ResourceResult,
+    stateAtStart: AcknowledgedState,
+  ): void {
+    this.checker.onChangeAnswered(command, result, stateAtStart);
     const name = command.type === 'put' ? command.resource.name : command.target.name;
     if (result.type === 'accepted') this.versions.set(name, result.revision);
     if (result.type === 'conflict') this.versions.set(name, result.current?.version ?? 0);
@@ -124,12 +128,16 @@
   }
 
   /** Asks a replica chosen at random; the answer is undefined when none came in time. */
-  private ask<Answer>(
+  private sendRequest<Answer>(
     request: (replica: SimReplica, answer: (answer: Answer) => void) => void,
     done: (answer: Answer | undefined) => void,
   ): void {
     const replica = this.replicas[this.random.below(this.replicas.length)]!;
     const ends = { from: this.machine, to: replica.machine, timeoutMs: ANSWER_TIMEOUT_MS };
-    exchange<Answer>({ ...this.network.ends, ...ends }, (answer) => request(replica, answer), done);
+    exchange<Answer>(
+      { ...this.network.exchangeDefaults, ...ends },
+      (answer) => request(replica, answer),
+      done,
+    );
   }
 }
--- a/lab/simulator/sim-claim-transport.ts
+++ b/lab/simulator/sim-claim-transport.ts
@@ -6,7 +6,7 @@
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
 /** A node that keeps claims. */
-export interface ClaimKeeper {
+export interface ClaimReplicaHost {
   readonly machine: SimMachine;
   readonly claimReplica: ClaimReplica;
 }
@@ -15,7 +15,7 @@
 export interface ClaimNetwork {
   readonly clock: Clock;
   readonly network: SimNetwork;
-  claimKeeper(id: string): ClaimKeeper;
+  claimReplicaHost(id: string): ClaimReplicaHost;
 }
 
 export class SimClaimTransport implements ClaimTransport {
@@ -33,10 +33,10 @@
   ): void {
     const { network, clock } = this.world;
     const { from, timeoutMs } = this;
-    const keeper = this.world.claimKeeper(memberId);
+    const host = this.world.claimReplicaHost(memberId);
     exchange<ClaimReply>(
-      { network, clock, from, to: keeper.machine, timeoutMs },
-      (answer) => answer(keeper.claimReplica.handle(message)),
+      { network, clock, from, to: host.machine, timeoutMs },
+      (answer) => answer(host.claimReplica.handle(message)),
       onReply,
     );
   }
--- a/lab/simulator/sim-network.ts
+++ b/lab/simulator/sim-network.ts
@@ -16,7 +16,7 @@
   incarnation = 1;
   alive = true;
   private frozen = false;
-  private held: (() => void)[] = [];
+  private deferredWork: (() => void)[] = [];
   cut: CutDirection | undefined;
   /** Extra one-way latency of every message to and from this machine, in milliseconds. */
   extraLatencyMs = 0;
@@ -33,7 +33,7 @@
   /** Runs `work` now, or after the thaw. Dropped when the machine ends meanwhile. */
   run(work: () => void): void {
     if (!this.alive) return;
-    if (this.frozen) this.held.push(work);
+    if (this.frozen) this.deferredWork.push(work);
     else work();
   }
 
@@ -43,15 +43,15 @@
 
   thaw(): void {
     this.frozen = false;
-    const held = this.held;
-    this.held = [];
-    for (const work of held) this.run(work);
+    const deferredWork = this.deferredWork;
+    this.deferredWork = [];
+    for (const work of deferredWork) this.run(work);
   }
 
   kill(): void {
     this.alive = false;
     this.frozen = false;
-    this.held = [];
+    this.deferredWork = [];
   }
 
   restart(): void {
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -53,7 +53,7 @@
   readonly backend: BackendModel;
   leaving = false;
   /** When the platform decided that the machine leaves. */
-  private leftAt: number | undefined;
+  private leavingSince: number | undefined;
   private directory!: ServiceDirectory;
   private admission: AdmissionController;
   private router: OutboundRouter;
@@ -62,7 +62,7 @@
   private readonly inboundByLabId = new Map<string, InboundCall>();
 
   private readonly clock: Clock;
-  private readonly direct: DirectPath;
+  private readonly directPath: DirectPath;
 
   constructor(
     readonly placement: TargetPlacement,
@@ -72,9 +72,9 @@
   ) {
     this.machine = new SimMachine(placement.nodeId, placement.zone);
     this.clock = new MachineClock(world.clock, this.machine);
-    this.direct = new DirectPath(world, random);
+    this.directPath = new DirectPath(world, random);
     this.backend = new BackendModel(this.clock, random, placement.service, (call, labId, done) =>
-      this.callOut(call, labId, done),
+      this.callDownstream(call, labId, done),
     );
     this.admission = this.createAdmission();
     this.router = this.createRouter();
@@ -95,7 +95,7 @@
     this.router = this.createRouter();
     this.replica.stop();
     this.startClaims();
-    this.learnFromList();
+    this.restoreLeavingState();
     this.world.refreshDirectory(this.directory);
     const view = this.world.claimViewOf(this.placement.service.name);
     if (view !== undefined) this.replica.setView(view);
@@ -103,16 +103,16 @@
 
   /** The platform has the machine leave; the node is told at once, the list later. */
   leave(): void {
-    this.leftAt = this.world.clock.now();
+    this.leavingSince = this.world.clock.now();
     this.leaving = true;
     this.clock.schedule(LEAVING_LINGER_MS, () => this.endWhenIdle(MAX_DRAIN_MS));
   }
 
   /** The planned stop ends the process once nothing is in flight, or after the longest drain. */
-  private endWhenIdle(patienceMs: number): void {
+  private endWhenIdle(remainingMs: number): void {
     if (!this.leaving) return;
-    if (this.inboundByLabId.size > 0 && patienceMs > 0) {
-      this.clock.schedule(DRAIN_CHECK_MS, () => this.endWhenIdle(patienceMs - DRAIN_CHECK_MS));
+    if (this.inboundByLabId.size > 0 && remainingMs > 0) {
+      this.clock.schedule(DRAIN_CHECK_MS, () => this.endWhenIdle(remainingMs - DRAIN_CHECK_MS));
       return;
     }
     this.world.kill(this.machine);
@@ -121,10 +121,10 @@
   }
 
   /** A process that has just started has forgotten that it was told to leave: the list says so. */
-  private learnFromList(): void {
+  private restoreLeavingState(): void {
     this.leaving = false;
-    if (this.leftAt === undefined) return;
-    const knownInMs = this.leftAt + this.world.listDelayMs - this.world.clock.now();
+    if (this.leavingSince === undefined) return;
+    const knownInMs = this.leavingSince + this.world.listDelayMs - this.world.clock.now();
     this.clock.schedule(knownInMs, () => {
       this.leaving = true;
       this.world.announceEndpoints();
@@ -160,7 +160,7 @@
     call.start();
     return {
       cancel: () => {
-        this.forget(request, call);
+        this.removeInbound(request, call);
         call.cancel();
       },
     };
@@ -172,7 +172,7 @@
     result: InboundResult,
     answer: AnswerCallback,
   ): void {
-    this.forget(request, call);
+    this.removeInbound(request, call);
     if (result.type !== 'refused') return;
     const { refusal } = result;
     answer({
@@ -182,18 +182,18 @@
     });
   }
 
-  private forget(request: SimRequest, call: InboundCall): void {
+  private removeInbound(request: SimRequest, call: InboundCall): void {
     if (this.inboundByLabId.get(request.labId) === call) this.inboundByLabId.delete(request.labId);
   }
 
   /** The back end calls another service through its node. */
-  private callOut(
+  private callDownstream(
     call: NestedCallModel,
     labId: string,
     done: (status: number) => void,
   ): Cancellable {
     if (!this.mechanisms.shoredoor) {
-      return this.direct.fromTarget(this.machine, call, labId, done);
+      return this.directPath.sendFromTarget(this.machine, call, labId, done);
     }
     const root = labId.slice(0, labId.lastIndexOf('/'));
     const passes = this.placement.service.passesContext;
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -55,7 +55,7 @@
 
 class SimAttempt implements Attempt {
   private wasWritten = false;
-  private over = false;
+  private isDone = false;
   private inbound: Cancellable | undefined;
   private target: SimTarget | undefined;
 
@@ -89,8 +89,8 @@
   }
 
   cancel(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isDone) return;
+    this.isDone = true;
     const { target } = this;
     if (target === undefined) return;
     this.world.network.send(this.from, target.machine, () => this.inbound?.cancel());
@@ -109,7 +109,7 @@
     const { incarnation } = target.machine;
     this.world.onProcessEnd(target.machine, this, () => this.failAfterReset(target));
     this.inbound = target.handle(request, context, (answer) => {
-      this.world.forgetProcessEnd(target.machine, this);
+      this.world.removeProcessEndListener(target.machine, this);
       if (target.machine.incarnation !== incarnation) return;
       target.machine.run(() =>
         this.world.network.send(target.machine, this.from, () => this.receive(answer)),
@@ -123,17 +123,17 @@
   }
 
   private receive(answer: NodeAnswer): void {
-    if (this.over) return;
+    if (this.isDone) return;
     const decision = this.listener.onHead({ status: answer.status, outcome: answer.outcome });
-    this.over = true;
+    this.isDone = true;
     if (decision === 'discard') return;
     this.listener.onEnd();
     this.onRelayed(answer.status);
   }
 
   private fail(written: boolean): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isDone) return;
+    this.isDone = true;
     const isKnown = this.world.mechanisms.writtenKnown;
     this.listener.onFailure({ reason: written ? 'reset' : 'connect', written: written && isKnown });
   }
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -53,11 +53,11 @@
   table: PolicyTable;
   private readonly targetsById: Map<string, SimTarget>;
   private readonly directories = new Set<ServiceDirectory>();
-  private readonly processEnds = new Map<SimMachine, Map<object, () => void>>();
+  private readonly processEndListeners = new Map<SimMachine, Map<object, () => void>>();
   private records: EndpointRecord[] = [];
   private readonly claimViews = new Map<string, ClaimView>();
   /** When each node was last seen alive. */
-  private readonly aliveAt = new Map<string, number>();
+  private readonly lastAliveAt = new Map<string, number>();
 
   constructor(private readonly options: SimWorldOptions) {
     const { deployment, seed, mechanisms } = options;
@@ -84,7 +84,7 @@
     return this.targetsById.get(nodeId)!;
   }
 
-  claimKeeper(nodeId: string): SimTarget {
+  claimReplicaHost(nodeId: string): SimTarget {
     return this.target(nodeId);
   }
 
@@ -152,23 +152,23 @@
 
   /** Registers what to do when the process on `machine` ends. */
   onProcessEnd(machine: SimMachine, owner: object, callback: () => void): void {
-    let callbacks = this.processEnds.get(machine);
+    let callbacks = this.processEndListeners.get(machine);
     if (callbacks === undefined) {
       callbacks = new Map();
-      this.processEnds.set(machine, callbacks);
+      this.processEndListeners.set(machine, callbacks);
     }
     callbacks.set(owner, callback);
   }
 
-  forgetProcessEnd(machine: SimMachine, owner: object): void {
-    this.processEnds.get(machine)?.delete(owner);
+  removeProcessEndListener(machine: SimMachine, owner: object): void {
+    this.processEndListeners.get(machine)?.delete(owner);
   }
 
   /** Ends the process on a machine at once. */
   kill(machine: SimMachine): void {
     machine.kill();
-    const callbacks = this.processEnds.get(machine);
-    this.processEnds.delete(machine);
+    const callbacks = this.processEndListeners.get(machine);
+    this.processEndListeners.delete(machine);
     for (const callback of callbacks?.values() ?? []) callback();
     for (const pair of this.connections) {
       if (pair.endsWith(`>${machine.id}`) || pair.startsWith(`${machine.id}>`)) {
@@ -195,10 +195,10 @@
     attempt: CallerAttempt,
     done: (answer: AttemptAnswer) => void,
   ): Cancellable {
-    let over = false;
+    let isDone = false;
     const finish = (answer: AttemptAnswer): void => {
-      if (over) return;
-      over = true;
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       done(answer);
     };
@@ -206,10 +206,10 @@
       handle.cancel();
       finish({ status: 0, verdict: undefined, retryAfterSeconds: 0, check: undefined });
     });
-    const handle = direct.fromCaller(attempt, finish);
+    const handle = direct.sendFromCaller(attempt, finish);
     return {
       cancel: () => {
-        over = true;
+        isDone = true;
         timer.cancel();
         handle.cancel();
       },
@@ -222,26 +222,26 @@
     group: string,
     done: (answer: AttemptAnswer) => void,
   ): Cancellable {
-    let over = false;
+    let isDone = false;
     let atEdge: Cancellable | undefined;
     const finish = (answer: AttemptAnswer): void => {
-      if (over) return;
-      over = true;
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       done(answer);
     };
     const cancel = (): void => {
-      over = true;
+      isDone = true;
       timer.cancel();
       this.clock.schedule(this.clientLatencyMs(), () => atEdge?.cancel());
     };
     const timer = this.clock.schedule(attempt.timeoutMs, () => {
-      if (over) return;
+      if (isDone) return;
       cancel();
       done({ status: 0, verdict: undefined, retryAfterSeconds: 0, check: undefined });
     });
     this.clock.schedule(this.clientLatencyMs(), () => {
-      if (over) return;
+      if (isDone) return;
       atEdge = edge.handle(attempt, group, (answer) => {
         this.clock.schedule(this.clientLatencyMs(), () => finish(answer));
       });
@@ -260,7 +260,7 @@
     const live = this.targetsOf(service).filter(
       ({ machine }) => machine.alive && !machine.isFrozen,
     );
-    for (const { machine } of live) this.aliveAt.set(machine.id, now);
+    for (const { machine } of live) this.lastAliveAt.set(machine.id, now);
     const next = nextClaimView({
       service,
       current: this.claimViews.get(service),
@@ -271,7 +271,7 @@
         isLeaving: leaving,
         settledEpoch: claimReplica.settledEpoch,
       })),
-      silentForMs: (id) => now - (this.aliveAt.get(id) ?? 0),
+      silentForMs: (id) => now - (this.lastAliveAt.get(id) ?? 0),
     });
     if (next === undefined) return;
     this.claimViews.set(service, next);
--- a/test/consensus/disk-full.test.ts
+++ b/test/consensus/disk-full.test.ts
@@ -9,7 +9,7 @@
   it('takes part again once the disk takes writes, and applies nothing twice', () => {
     const clock = new VirtualClock();
     const random = new SeededRandom(1);
-    const disk = new SimDisk({ clock, random, answersBeforeSync: false });
+    const disk = new SimDisk({ clock, random, acknowledgesBeforeSync: false });
     let applied: string[] = [];
     const host = new ReplicaHost({
       clock,
--- a/test/follower/configuration-proof.test.ts
+++ b/test/follower/configuration-proof.test.ts
@@ -22,7 +22,7 @@
     seed,
     faultMs: FAULT_MS,
     mechanisms,
-    followersProve: true,
+    tracksFollowerStaleness: true,
   }).execute();
 }
 
