--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -1,4 +1,4 @@
-/** One node of a {@link ClaimWorld}: the product's claim modules, unchanged, over the simulated network. */
+/** One node of a {@link ClaimWorld}: the product's claim modules over the simulated network. */
 import type { ClaimDecision } from '../../../src/dedup/claim.js';
 import type { ClaimCandidate } from '../../../src/control/claim-view-planner.js';
 import { ClaimReplica } from '../../../src/dedup/claim-replica.js';
@@ -10,7 +10,7 @@
 import type { ClaimWorld } from './claim-world.js';
 
 const TIMEOUT_MS = 300;
-/** A call that was granted its key answers after this time. */
+/** Time until a call that was granted its key is answered. */
 const EXECUTION_MS = 50;
 const DEADLINE_MS = 1_000;
 const UNWRITTEN_CHANCE = 0.1;
@@ -46,7 +46,7 @@
     this.machine.kill();
   }
 
-  /** A planned stop: hands over, then ends. */
+  /** Planned stop: hands the claims over, then ends the process. */
   stop(): void {
     this.isStopping = true;
     this.claimReplica.handOver(() => this.machine.kill());
@@ -59,7 +59,7 @@
     if (view !== undefined) this.claimReplica.setView(view);
   }
 
-  /** A call with a key has arrived. Hears `granted` at the moment when it runs. */
+  /** Handles a call with a key. `onDecision` is called with `granted` when the call runs. */
   call(key: string, onDecision: (decision: string) => void): void {
     const clock = new MachineClock(this.world.clock, this.machine);
     const deadlineAt = clock.now() + DEADLINE_MS;
@@ -68,7 +68,7 @@
         onDecision(decision.type);
         return;
       }
-      // As the inbound call does: past its deadline, or not written to the target, it does not run.
+      // As in the product, a call past its deadline or not written to the target does not run.
       const isLate = clock.now() >= deadlineAt;
       if (isLate || this.world.random.next() < UNWRITTEN_CHANCE) {
         clock.schedule(0, () => handle.release());
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -1,6 +1,6 @@
 /**
- * Nodes of one service that claim keys and keep claims, in virtual time, under restarts, cuts,
- * freezes, planned stops and changes of the node list. Counts how often each key's call ran.
+ * Simulates the nodes of one service that claim keys, under crashes, network cuts, freezes, planned stops
+ * and changes of the claim view. Counts how often the call of each key ran.
  */
 import { SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
@@ -13,7 +13,7 @@
   readonly seed: number;
   readonly nodes: number;
   readonly durationMs: number;
-  /** Lab only: replicas that believe that they know every claim. */
+  /** Lab only: whether replicas assume that they know every claim, also after a restart. */
   readonly assumeWhole: boolean;
 }
 
@@ -32,15 +32,15 @@
 const VIEW_STEPS = 25;
 const VIEW_DELAY_MS = 300;
 const CALLS_PER_STEP = 2;
-/** Resends come close after one another and to other nodes. */
+/** Number of recent keys from which a resend chooses. */
 const RECENT_KEYS = 6;
 const RESEND_CHANCE = 0.7;
 const FAULT_CHANCE_PER_STEP = 0.03;
 const MAX_FAULT_MS = 3_000;
-/** Nodes that may be down or cut off together. */
+/** Maximum number of nodes with a fault at the same time. */
 const MAX_FAULTY_NODES = 2;
 const ZONE_LATENCY_MS = 1;
-/** Silence counts this many times here, so that views change more often than in the product. */
+/** Multiplies the time without contact, so that views change more often than in the product. */
 const SILENCE_FACTOR = 30;
 
 export class ClaimWorld {
@@ -106,7 +106,7 @@
     const key = `key-${this.keyCount}`;
     this.recentKeys.push(key);
     if (this.recentKeys.length > RECENT_KEYS) {
-      // Now and then an old key comes again much later.
+      // Evicts a random key, so that some old keys are resent much later.
       this.recentKeys.splice(this.random.below(RECENT_KEYS), 1);
     }
     return key;
@@ -130,7 +130,7 @@
     if (!node.machine.alive) node.restart(this.view);
   }
 
-  /** Stands for control: the node list follows with a delay, and views follow it. */
+  /** Plans the claim view, as control does, and sends it to the nodes after a random delay. */
   private planView(): void {
     const now = this.clock.now();
     const reachable = this.nodes.filter((node) => !node.isFaulty);
@@ -146,7 +146,7 @@
     for (const node of this.nodes) {
       const delayMs = now === 0 ? 0 : this.random.next() * VIEW_DELAY_MS;
       this.clock.schedule(delayMs, () => {
-        // A node that is cut off does not hear of it: the next one that it hears of is later.
+        // A node that is cut off misses this view and receives a later one.
         if (node.machine.cut === undefined) node.machine.run(() => node.claimReplica.setView(next));
       });
     }
--- a/lab/simulator/direct-path.ts
+++ b/lab/simulator/direct-path.ts
@@ -1,6 +1,6 @@
 /**
- * The baseline without shoredoor: callers and targets send straight to a target chosen at random, and
- * every hop retries by itself.
+ * The baseline without shoredoor: callers and targets send requests directly to a random target, and
+ * every hop retries independently.
  */
 import type { RandomSource } from '../../src/common/random.js';
 import type { AttemptAnswer, CallerAttempt } from '../model/caller-model.js';
@@ -15,7 +15,7 @@
 const HOP_TIMEOUT_MS = 1_000;
 const STATUS_OK = 200;
 const STATUS_CONNECTION_FAILED = 0;
-/** Targets have no deadline to go by. */
+/** Requests carry no deadline without shoredoor. */
 const NO_DEADLINE = Number.MAX_SAFE_INTEGER;
 
 interface DirectRequest {
@@ -30,7 +30,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** A caller's attempt. Callers retry by themselves. */
+  /** Sends one attempt of a caller. The caller model does the retries. */
   sendFromCaller(attempt: CallerAttempt, done: (answer: AttemptAnswer) => void): Cancellable {
     const service = this.world.table.matchKind(attempt.method, attempt.path)?.service ?? '';
     return this.send(undefined, service, attempt, (status) => {
@@ -39,7 +39,7 @@
     });
   }
 
-  /** A target's call to another service, with retries. */
+  /** Sends a target's nested call to another service, with retries. */
   sendFromTarget(
     from: SimMachine,
     call: NestedCallModel,
@@ -86,7 +86,7 @@
     return handle;
   }
 
-  /** One attempt at a target chosen at random. */
+  /** Sends one attempt to a random live target. */
   private send(
     from: SimMachine | undefined,
     service: string,
--- a/lab/simulator/local-claims.ts
+++ b/lab/simulator/local-claims.ts
@@ -1,6 +1,7 @@
 /**
- * Keys remembered by one node alone, as `claims=local` has it: a resend that reaches another node, or this one
- * after a restart, is not recognised. Owns the memory; the product remembers keys in a quorum of nodes instead.
+ * Idempotency keys held in the memory of a single node, for the lab's `claims=local`. A retry that reaches
+ * another node, or the same node after a restart, is not recognized. The product stores keys in a quorum of
+ * nodes instead.
  */
 import type { Clock } from '../../src/common/clock.js';
 import type { ClaimDecision, ClaimHandle, KeyClaims } from '../../src/dedup/claim.js';
@@ -40,7 +41,7 @@
     };
   }
 
-  /** Records are in order of expiry, so the oldest are at the front. */
+  /** Relies on the records being in insertion order, which is also their order of expiry. */
   private evictExpired(): void {
     const now = this.clock.now();
     for (const [key, record] of this.records) {
@@ -51,10 +52,10 @@
 }
 
 function noop(): void {
-  // Nothing is kept of this.
+  // Local claims do not record this event.
 }
 
-/** What a later call with the same key is told. */
+/** The decision for a later call with the same key. */
 function heldDecision({ isAnswered }: ClaimRecord): ClaimDecision {
   if (isAnswered) {
     return { type: 'held', verdict: 'ran', detail: 'A request with this key was answered.' };
--- a/lab/simulator/machine-clock.ts
+++ b/lab/simulator/machine-clock.ts
@@ -1,6 +1,6 @@
 /**
- * The clock of one simulated process: its timers wait while the machine is frozen and never fire
- * after the process has ended.
+ * The clock of one simulated process: its timers are deferred while the machine is frozen and never
+ * fire after the process has ended.
  */
 import type { Clock, Timer } from '../../src/common/clock.js';
 import type { SimMachine } from './sim-network.js';
--- a/lab/simulator/mechanisms.ts
+++ b/lab/simulator/mechanisms.ts
@@ -1,24 +1,24 @@
 /**
- * Lab-only switches: each turns one mechanism off or swaps it for a loser of the weighing, so that a
- * scenario can show what the mechanism is for. The product has no such switches.
+ * Lab-only switches. Each disables one mechanism or replaces it by an alternative, so that a scenario can
+ * show the failure that the mechanism prevents. The product has no such switches.
  */
 import { z } from 'zod';
 
 export const mechanismsSchema = z.strictObject({
-  /** Limit algorithm of the nodes. */
+  /** Concurrency limit algorithm of the nodes. */
   limiter: z.enum(['fixed', 'probe', 'unlimited']).default('probe'),
   sharing: z.enum(['share-first', 'importance-first']).default('share-first'),
-  /** Whether callers refuse early what callees would refuse. */
+  /** Whether callers refuse requests early that the callee would refuse as overloaded. */
   throttle: z.boolean().default(true),
-  /** Whether retries are bounded over the chain; otherwise every hop may retry twice. */
+  /** Whether retries are bounded over the whole call chain; otherwise every hop may retry twice. */
   retryBound: z.boolean().default(true),
-  /** Who remembers the keys of calls that may run at most once. */
+  /** Where the idempotency keys of calls that may run at most once are stored. */
   claims: z.enum(['quorum', 'local']).default('quorum'),
-  /** Whether leaving nodes refuse and are passed over. */
+  /** Whether leaving nodes refuse new calls. */
   leaving: z.boolean().default(true),
-  /** Whether a failed attempt knows if its request was written; otherwise it says it was not. */
+  /** Whether a failed attempt reports if its request was written; otherwise it always reports that it was not. */
   writtenKnown: z.boolean().default(true),
-  /** Whether shoredoor is in the path at all. */
+  /** Whether requests go through shoredoor at all. */
   shoredoor: z.boolean().default(true),
 });
 
--- a/lab/simulator/replication/raft-mechanisms.ts
+++ b/lab/simulator/replication/raft-mechanisms.ts
@@ -1,16 +1,16 @@
 /**
- * Takes safeguards off the replicated log from outside, so that a scenario can show what each is for. The product has no
- * such switches: it always runs the classes that these extend.
+ * Lab-only switches that disable safeguards of the replicated log, so that a scenario can show the failure
+ * that each prevents. The product always uses the base classes.
  */
 import { Election } from '../../../src/consensus/election.js';
 import { Leadership } from '../../../src/consensus/leadership.js';
 import type { RaftParts } from '../../../src/consensus/raft-node.js';
 
-/** Safeguards of the replicated log; true where the product's own rule holds. */
+/** Safeguards of the replicated log; true means enabled, as in the product. */
 export interface RaftMechanisms {
-  /** A replica asks whether it would be elected before it raises the term. */
+  /** A replica holds a pre-vote before it increments the term. */
   readonly preVote: boolean;
-  /** A leader that a majority does not answer steps down. */
+  /** A leader without contact to a majority steps down. */
   readonly checkQuorum: boolean;
   /** A majority confirms the leader before a read is served. */
   readonly confirmReads: boolean;
@@ -18,7 +18,6 @@
   readonly catchUpBeforeVote: boolean;
 }
 
-/** Everything on. */
 export const ALL_RAFT_MECHANISMS: RaftMechanisms = {
   preVote: true,
   checkQuorum: true,
@@ -26,7 +25,7 @@
   catchUpBeforeVote: true,
 };
 
-/** The parts of a replica without the safeguards that are off. */
+/** Returns the classes of a replica with the given safeguards. */
 export function raftPartsWith(mechanisms: RaftMechanisms): RaftParts {
   return { Election: electionWith(mechanisms), Leadership: leadershipWith(mechanisms) };
 }
--- a/lab/simulator/replication/replication-checker.ts
+++ b/lab/simulator/replication/replication-checker.ts
@@ -1,27 +1,27 @@
 /**
- * Watches a replicated store from outside. The order of revisions is the witness of linearizability:
- * every answer must fit it, in real time, and no replica may ever differ from it.
+ * Checks a replicated store for linearizability. Revisions give the total order of changes: every answer must
+ * be consistent with it in real time, and all replicas must have the same contents at the same revision.
  */
 import type { RaftMessage } from '../../../src/consensus/raft-types.js';
 import type { ResourceCommand, ResourceResult } from '../../../src/control/commands.js';
 import type { ResourceStore } from '../../../src/control/resource-store.js';
 import { resourceIdOf, resourceKey } from '../../../src/policy/stored-resource.js';
 
-/** What a client saw of one accepted change. */
+/** A change acknowledged to a client as accepted. */
 interface AcceptedChange {
   readonly changeId: string;
   readonly revision: number;
 }
 
-/** What must be visible to whatever begins now. */
+/** What has been acknowledged to clients so far, and so must be visible to later operations. */
 export interface AcknowledgedState {
-  /** Highest revision that anyone was told of. */
+  /** Highest revision acknowledged to any client. */
   readonly revision: number;
-  /** Highest revision told per resource key. */
+  /** Highest acknowledged revision by resource key. */
   readonly versions: ReadonlyMap<string, number>;
 }
 
-/** A client was told of a revision. */
+/** The acknowledgement of a revision to a client. */
 interface Acknowledgement {
   readonly revision: number;
   readonly at: number;
@@ -30,25 +30,25 @@
 export class ReplicationChecker {
   readonly violations: string[] = [];
   private readonly leadersByTerm = new Map<number, string>();
-  /** Which change made each revision. */
+  /** The change id that produced each revision. */
   private readonly changeIdsByRevision = new Map<number, string>();
   private readonly contentsByRevision = new Map<number, string>();
   private readonly acknowledgedVersions = new Map<string, number>();
   private readonly accepted: AcceptedChange[] = [];
   private acknowledgedRevision = 0;
-  /** When clients were told of each revision that was higher than all before. */
+  /** The first acknowledgement of each new highest revision. */
   private readonly acknowledgements: Acknowledgement[] = [];
   private inForce = 0;
 
-  /** @param now milliseconds of the run */
+  /** @param now returns the time since the start of the run, in milliseconds */
   constructor(private readonly now: () => number) {}
 
-  /** Number of changes that clients were told are accepted. */
+  /** Number of changes acknowledged as accepted. */
   get acceptedCount(): number {
     return this.accepted.length;
   }
 
-  /** Highest revision that every follower was seen to apply. */
+  /** Highest revision that every follower has applied. */
   get inForceRevision(): number {
     return this.inForce;
   }
@@ -74,7 +74,7 @@
     }
   }
 
-  /** A replica's store changed: the same revision must mean the same contents everywhere. */
+  /** Checks that every replica has the same contents at the same revision. */
   onStoreChanged(replica: string, store: ResourceStore): void {
     this.compareContents(replica, store.revision, JSON.stringify(store.list()));
   }
@@ -87,12 +87,12 @@
     }
   }
 
-  /** What an operation that begins now must see. */
+  /** A copy of the state that an operation starting now must see. */
   acknowledgedState(): AcknowledgedState {
     return { revision: this.acknowledgedRevision, versions: new Map(this.acknowledgedVersions) };
   }
 
-  /** A client was told how its change ended. */
+  /** Checks the result of a change against the state when it was sent. */
   onChangeAnswered(
     command: ResourceCommand,
     result: ResourceResult,
@@ -110,7 +110,7 @@
     }
   }
 
-  /** A client was told a revision. */
+  /** Checks the revision of a read against the state when it was sent. */
   onRead(revision: number, stateAtStart: AcknowledgedState): void {
     if (revision < stateAtStart.revision) {
       this.addViolation(
@@ -136,7 +136,7 @@
     }
   }
 
-  /** A follower believes that it lacks nothing which was told before `provenAt`. */
+  /** Checks a follower's claim that it has every change acknowledged before `provenAt`. */
   onFollowerProof(follower: string, applied: number, provenAt: number): void {
     const missed = this.acknowledgements.find(
       ({ revision, at }) => at < provenAt && revision > applied,
@@ -152,7 +152,7 @@
     this.inForce = Math.max(this.inForce, revision);
   }
 
-  /** At the end: everything that was accepted stands in the final order. */
+  /** Checks that every accepted change is part of the final state. */
   checkFinalState(finalRevision: number): void {
     for (const { changeId, revision } of this.accepted) {
       if (this.changeIdsByRevision.get(revision) !== changeId) {
--- a/lab/simulator/replication/replication-faults.ts
+++ b/lab/simulator/replication/replication-faults.ts
@@ -1,7 +1,4 @@
-/**
- * Random faults against a {@link ReplicationWorld}, and their end. Owns the log of what was done; the seed is the
- * world's.
- */
+/** Injects random faults into a {@link ReplicationWorld}, ends them, and keeps a log of them. */
 import type { CutDirection, SimMachine } from '../sim-network.js';
 import type { ReplicationWorld } from './replication-world.js';
 import type { SimReplica } from './sim-replica.js';
@@ -13,7 +10,7 @@
 type Fault = (replica: SimReplica) => void;
 
 export class ReplicationFaults {
-  /** What was done, with times. */
+  /** Injected faults with their times, in order. */
   readonly log: string[] = [];
   private readonly faults: readonly Fault[];
   private haveFaultsEnded = false;
@@ -31,18 +28,18 @@
     ];
   }
 
-  /** Does something now and then. */
+  /** Injects a random fault with a fixed chance. */
   maybeInject(): void {
     const { random, replicas } = this.world;
     if (random.next() >= FAULT_CHANCE_PER_STEP) return;
     const fault = this.faults[random.below(this.faults.length)]!;
-    // The leader is hit as often as all others together.
+    // The leader is the target in about half of the cases.
     const leader = replicas.find((replica) => replica.running?.raftStatus?.role === 'leader');
     const other = replicas[random.below(replicas.length)]!;
     fault(leader !== undefined && random.next() < 0.5 ? leader : other);
   }
 
-  /** Ends every fault and starts what is down. */
+  /** Ends all faults and restarts every process that is down. */
   endAllFaults(): void {
     this.haveFaultsEnded = true;
     const { replicas, followers } = this.world;
@@ -51,7 +48,7 @@
     for (const process of [...replicas, ...followers]) {
       if (!process.machine.alive) process.restart();
     }
-    // A replica whose disk was full takes part again only after a restart.
+    // A replica that failed on a full disk needs a restart.
     for (const replica of replicas) {
       if (replica.running?.phase === 'failed') this.restartNow(replica);
     }
@@ -85,7 +82,7 @@
     this.scheduleRecovery(() => this.reconnect(machine));
   }
 
-  /** A disk is lost only while the store is whole: with two lost at once no store can help. */
+  /** Wipes a disk only while all voters are in place: losing two disks at once loses data by design. */
   private loseDisk(replica: SimReplica): void {
     if (!replica.machine.alive || !this.areAllVotersSettled()) return;
     this.logFault(`lose disk ${replica.name}`);
@@ -119,8 +116,8 @@
   }
 
   /**
-   * Whether a leader reports every voter in place: as many as there should be, each the replica that
-   * runs under that name now. This is what `status` shows as a finished repair.
+   * Whether the leader reports that membership is settled and every voter is the replica that currently
+   * runs under its name. `status` shows this as a finished repair.
    */
   private areAllVotersSettled(): boolean {
     const { replicas } = this.world;
--- a/lab/simulator/replication/replication-network.ts
+++ b/lab/simulator/replication/replication-network.ts
@@ -1,7 +1,4 @@
-/**
- * The network of simulated control replicas: also drops, repeats and reorders their messages. Relies on
- * {@link SimNetwork} for latencies and cuts.
- */
+/** A {@link SimNetwork} between control replicas that also drops, duplicates and reorders messages. */
 import type { VirtualClock } from '../../../src/common/virtual-clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { MessageTarget } from '../../../src/consensus/raft-types.js';
@@ -12,7 +9,7 @@
 const ZONE_LATENCY_MS = 4;
 const REORDER_SPREAD_MS = 40;
 
-/** Chances of each message between replicas. */
+/** Probabilities for each message between replicas. */
 const DROP_CHANCE = 0.02;
 const DUPLICATE_CHANCE = 0.03;
 const DELAY_CHANCE = 0.1;
@@ -32,7 +29,7 @@
     });
   }
 
-  /** What an exchange of messages needs of the network. */
+  /** The clock and network for an exchange of messages. */
   get exchangeDefaults(): Pick<ExchangeLink, 'clock' | 'network'> {
     return { clock: this.clock, network: this.network };
   }
--- a/lab/simulator/replication/replication-world.ts
+++ b/lab/simulator/replication/replication-world.ts
@@ -1,6 +1,6 @@
 /**
- * Control replicas, operators and followers in virtual time under faults: crashes at any moment, lost
- * disks, cuts, freezes, full disks, lost, repeated and reordered messages. One seed gives one run.
+ * Simulates control replicas, operators and followers under faults: crashes, lost or full disks, network
+ * cuts, freezes, and lost, duplicated or reordered messages. The same seed always gives the same run.
  */
 import { SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
@@ -13,11 +13,11 @@
 import { SimReplica } from './sim-replica.js';
 import { SimWriter } from './sim-writer.js';
 
-/** Lab-only switches; everything is on in the product. */
+/** Lab-only switches; everything is enabled in the product. */
 export interface ReplicationMechanisms extends RaftMechanisms {
-  /** A write is answered only once it is synced. */
+  /** A write is acknowledged only after it is synced to disk. */
   readonly syncBeforeAnswer: boolean;
-  /** An empty disk gets a new identity. */
+  /** A replica with an empty disk gets a new identity. */
   readonly newIdentity: boolean;
 }
 
@@ -27,26 +27,24 @@
   newIdentity: true,
 };
 
-/** One run. */
 export interface ReplicationRun {
   readonly seed: number;
   readonly faultMs: number;
   readonly mechanisms: ReplicationMechanisms;
-  /** Whether followers ask how old their configuration may be, and are checked for it. Default false. */
+  /** Whether followers bound the age of their configuration by heartbeats and are checked for it. Default false. */
   readonly tracksFollowerStaleness?: boolean;
 }
 
-/** What a run gave. */
 export interface ReplicationResult {
   readonly seed: number;
   readonly violations: readonly string[];
-  /** Changes that operators were told are accepted. */
+  /** Number of changes acknowledged as accepted. */
   readonly accepted: number;
-  /** Milliseconds after the last fault until a new change was in force at every follower. */
+  /** Time from the last fault until a new change was applied by every follower, in milliseconds. */
   readonly recoveredAfterMs: number | undefined;
-  /** What was done to the store, in order. */
+  /** Injected faults, in order. */
   readonly faults: readonly string[];
-  /** Time over all followers for which one was checked against its proof, in milliseconds. */
+  /** Sum over all followers of the time in which their proof was checked, in milliseconds. */
   readonly provenMs: number;
 }
 
@@ -92,7 +90,15 @@
       const zone = PLACEMENTS[index % PLACEMENTS.length]!.zone;
       const { replicas, network, checker, random } = this;
       const tracksStaleness = run.tracksFollowerStaleness ?? false;
-      return new SimFollower(`node-${index + 1}`, zone, replicas, network, checker, random, tracksStaleness);
+      return new SimFollower(
+        `node-${index + 1}`,
+        zone,
+        replicas,
+        network,
+        checker,
+        random,
+        tracksStaleness,
+      );
     });
   }
 
@@ -148,7 +154,7 @@
     this.checker.onFollowerProof(machine.id, appliedRevision, provenAt);
   }
 
-  /** Lets operators go on until a change made after the faults is in force at every follower. */
+  /** Runs until a change made after the faults is applied by every follower; undefined on timeout. */
   private waitUntilRecovered(): number | undefined {
     const faultsEndedAt = this.clock.now();
     const goal = this.checker.acceptedCount + 1;
--- a/lab/simulator/replication/sim-disk.ts
+++ b/lab/simulator/replication/sim-disk.ts
@@ -1,7 +1,6 @@
 /**
- * A disk in virtual time. What was not synced when the machine crashes is lost in whole or in part,
- * as on a real one: of an append some leading bytes may remain, and a replacement whose folder was
- * not synced yet may stand or not.
+ * A simulated disk. A crash loses unsynced writes in whole or in part, as on a real disk: a prefix of an
+ * append may remain, and a file replacement whose folder was not synced may or may not be visible.
  */
 import type { Clock } from '../../../src/common/clock.js';
 import { StorageError } from '../../../src/common/errors.js';
@@ -11,11 +10,10 @@
 const SYNC_MIN_MS = 0.2;
 const SYNC_SPREAD_MS = 3;
 
-/** How the disk behaves. */
 export interface SimDiskOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Lab only: a disk that says that a write is synced before it is. */
+  /** Lab only: whether writes are acknowledged before they are synced. */
   readonly acknowledgesBeforeSync: boolean;
 }
 
@@ -33,14 +31,14 @@
   private readonly synced = new Map<string, Buffer>();
   private appends: UnsyncedAppend[] = [];
   private replacements: UnsyncedReplacement[] = [];
-  /** Counts crashes: operations of an earlier start end nowhere. */
+  /** Number of crashes. Operations of an earlier incarnation are dropped. */
   private incarnation = 0;
-  /** Every write fails while the disk is full. */
+  /** Whether every write fails for lack of space. */
   full = false;
 
   constructor(private readonly options: SimDiskOptions) {}
 
-  /** The files as the process that now starts sees them. */
+  /** Opens the files for a process that starts now. */
   mount(): StorageFiles {
     const { incarnation } = this;
     return {
@@ -50,7 +48,7 @@
     };
   }
 
-  /** The machine stops at once. */
+  /** Simulates a crash of the machine: unsynced writes are lost or partly kept. */
   crash(): void {
     this.incarnation += 1;
     for (const { name, bytes } of this.appends) this.keepPrefix(name, bytes);
@@ -61,7 +59,7 @@
     this.replacements = [];
   }
 
-  /** The disk is replaced by an empty one. Call after {@link crash}. */
+  /** Replaces the disk by an empty one. Call after {@link crash}. */
   wipe(): void {
     this.synced.clear();
     this.full = false;
--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -1,6 +1,6 @@
 /**
- * A node's view of configuration in virtual time: follows any replica, restarts without a disk. The view and the proof
- * of its age are the product's; whom it asks, and when, is its own.
+ * A simulated follower of the configuration without a disk. It uses the product's view and proof of age, but
+ * chooses a random replica for each request.
  */
 import { ConfigurationProof } from '../../../src/follower/configuration-proof.js';
 import { ConfigurationView } from '../../../src/follower/configuration-view.js';
@@ -36,15 +36,12 @@
     this.machine = new SimMachine(name, zone);
   }
 
-  /** Revision in force here; undefined before the first. */
+  /** Revision applied here; undefined before the first one and while the process is down. */
   get appliedRevision(): number | undefined {
     return this.machine.alive ? this.applied : undefined;
   }
 
-  /**
-   * Asks every replica now and then how old its configuration may be, as followers do.
-   * Off in runs whose seeds were drawn before there were such heartbeats.
-   */
+  /** Sends periodic heartbeats to every replica to bound the age of its configuration, as product followers do. */
   sendHeartbeats(): void {
     const { network, machine, replicas } = this;
     const clock = new MachineClock(network.clock, machine);
@@ -59,7 +56,7 @@
     clock.schedule(HEARTBEAT_MS, () => this.sendHeartbeats());
   }
 
-  /** Every change that was acknowledged before this time is in force here, as the process believes. */
+  /** Time before which every acknowledged change is applied here, according to the proof; undefined if not running. */
   get provenAt(): number | undefined {
     const { clock } = this.network;
     if (!this.machine.alive || this.machine.isFrozen) return undefined;
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -1,4 +1,4 @@
-/** One control replica in virtual time: machine, disk, log and store, as the control program has them. */
+/** A simulated control replica: the control program's log and store on a simulated machine and disk. */
 import { decodeMessage, encodeMessage } from '../../../src/common/message-codec.js';
 import { SeededRandom } from '../../../src/common/random.js';
 import { ReplicaHost } from '../../../src/consensus/replica-host.js';
@@ -22,17 +22,17 @@
 import { raftPartsWith, type RaftMechanisms } from './raft-mechanisms.js';
 import { SimDisk } from './sim-disk.js';
 
-/** What a client hears of its change. */
+/** The answer to a client's change. */
 export type ChangeAnswer =
   | { readonly type: 'result'; readonly result: ResourceResult }
-  /** Nothing was done here; another replica may lead. */
+  /** The change was not applied; another replica may be the leader. */
   | { readonly type: 'refused' }
   | { readonly type: 'unknown' };
 
 /** The answer to a heartbeat. */
 export interface ConfirmedRevision {
   readonly revision: number;
-  /** Undefined from a replica that does not lead. */
+  /** Undefined if the replica is not the leader. */
   readonly confirmedAgeMs: number | undefined;
 }
 
@@ -46,7 +46,7 @@
   readonly seed: number;
   readonly mechanisms: RaftMechanisms;
   readonly acknowledgesBeforeSync: boolean;
-  /** Lab only: a replica that lost its disk comes back under its old identity. */
+  /** Lab only: whether a replica that lost its disk restarts with its old identity. */
   readonly reusesIdentity: boolean;
 }
 
@@ -118,14 +118,14 @@
     this.host.start();
   }
 
-  /** Stops at once, as by a loss of power. */
+  /** Stops immediately, as in a power failure. */
   crash(): void {
     this.machine.kill();
     this.disk.crash();
     this.host = undefined;
   }
 
-  /** Stops as planned. */
+  /** Planned stop. */
   stop(): void {
     this.host?.stop();
     this.crash();
@@ -136,12 +136,12 @@
     this.start();
   }
 
-  /** A message from another replica has arrived. */
+  /** Handles a message from another replica. */
   receiveRaft(identity: string, bytes: Uint8Array): void {
     this.host?.receive(identity, decodeMessage<RaftMessage>(bytes));
   }
 
-  /** A client's change has arrived. */
+  /** Handles a client's change. */
   change(command: ResourceCommand, answer: (answer: ChangeAnswer) => void): void {
     this.host?.propose(encodeMessage(command), (outcome) => {
       if (outcome.type === 'applied') {
@@ -150,12 +150,12 @@
     });
   }
 
-  /** A client's read has arrived. Answers with the revision read, or undefined when refused. */
+  /** Handles a client's read. Answers with the revision, or undefined when refused. */
   read(answer: (revision: number | undefined) => void): void {
     this.host?.readBarrier((confirmed) => answer(confirmed ? this.store.revision : undefined));
   }
 
-  /** A follower's heartbeat has arrived: tells the revision here and, on a leader, how long ago it was the newest. */
+  /** Handles a follower's heartbeat: answers with the revision and, on a leader, the age of its confirmation. */
   heartbeat(answer: (reply: ConfirmedRevision) => void): void {
     const { clock } = this.options.network;
     const confirmedAt = this.host?.raftStatus?.confirmedAt;
@@ -163,7 +163,7 @@
     answer({ revision: this.store.revision, confirmedAgeMs });
   }
 
-  /** A follower's sync has arrived, as in the follower API. */
+  /** Handles a follower's sync request as the follower API does. */
   sync(request: SyncRequest, answer: (response: SyncResponse | undefined) => void): void {
     const clock = new MachineClock(this.options.network.clock, this.machine);
     const responder = new SyncResponder(
--- a/lab/simulator/replication/sim-writer.ts
+++ b/lab/simulator/replication/sim-writer.ts
@@ -1,4 +1,4 @@
-/** An operator in virtual time: races others with versions, and resends changes whose answer is lost. */
+/** A simulated operator: makes conditional changes concurrently with others and resends unanswered changes. */
 import type { RandomSource } from '../../../src/common/random.js';
 import type {
   ResourceCommand,
@@ -25,7 +25,7 @@
   readonly machine: SimMachine;
   private sequence = 0;
   private stopped = false;
-  /** Versions last seen, by resource name. */
+  /** Last observed versions by resource name. */
   private readonly versions = new Map<string, number>();
 
   constructor(
@@ -43,7 +43,7 @@
     this.scheduleNextOperation();
   }
 
-  /** Begins nothing more. */
+  /** Starts no further operation. */
   stop(): void {
     this.stopped = true;
   }
@@ -76,7 +76,7 @@
     this.send(command, this.checker.acknowledgedState());
   }
 
-  /** Sends a change until it is answered. Every resend has the same change id. */
+  /** Sends a change until it is answered, always with the same change id. */
   private send(command: ResourceCommand, stateAtStart: AcknowledgedState): void {
     this.sendRequest<ChangeAnswer>(
       (replica, answer) => replica.change(command, answer),
@@ -127,7 +127,7 @@
     return version === undefined || version === 0 ? 'absent' : version;
   }
 
-  /** Asks a replica chosen at random; the answer is undefined when none came in time. */
+  /** Sends a request to a random replica; the answer is undefined after a timeout. */
   private sendRequest<Answer>(
     request: (replica: SimReplica, answer: (answer: Answer) => void) => void,
     done: (answer: Answer | undefined) => void,
--- a/lab/simulator/sim-claim-transport.ts
+++ b/lab/simulator/sim-claim-transport.ts
@@ -1,17 +1,17 @@
-/** Carries messages about claims over a simulated network. Relies on its world to know who keeps claims. */
+/** Sends claim messages over a simulated network. */
 import type { Clock } from '../../src/common/clock.js';
 import type { ClaimMessage, ClaimReply, ClaimTransport } from '../../src/dedup/claim-messages.js';
 import type { ClaimReplica } from '../../src/dedup/claim-replica.js';
 import { exchange } from './sim-exchange.js';
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
-/** A node that keeps claims. */
+/** A node with a claim replica. */
 export interface ClaimReplicaHost {
   readonly machine: SimMachine;
   readonly claimReplica: ClaimReplica;
 }
 
-/** What carries the messages, and between whom. */
+/** The clock, the network and the claim replicas that can be reached over it. */
 export interface ClaimNetwork {
   readonly clock: Clock;
   readonly network: SimNetwork;
@@ -19,7 +19,7 @@
 }
 
 export class SimClaimTransport implements ClaimTransport {
-  /** @param timeoutMs time after which a message counts as not answered */
+  /** @param timeoutMs time after which a request without a reply is reported as `undefined` */
   constructor(
     private readonly world: ClaimNetwork,
     private readonly from: SimMachine,
--- a/lab/simulator/sim-edge.ts
+++ b/lab/simulator/sim-edge.ts
@@ -1,4 +1,4 @@
-/** A simulated edge: group, kind and context as in the product, then the product's router, unchanged. */
+/** A simulated edge: creates the call context as the product does and uses the product's router. */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { edgeOutboundRequest, mintContext } from '../../src/edge/mint-context.js';
 import type { CallContext } from '../../src/call/call-context.js';
@@ -51,7 +51,7 @@
     return { ...request, allowance: new UnboundedAllowance(), retryRatio: UNBOUNDED_RETRY_RATIO };
   }
 
-  /** A request arrives from outside. */
+  /** Handles a request from a caller. */
   handle(
     attempt: CallerAttempt,
     group: string,
--- a/lab/simulator/sim-exchange.ts
+++ b/lab/simulator/sim-exchange.ts
@@ -1,9 +1,9 @@
-/** A question and its answer over the simulated network, with a time-out at the asking process. */
+/** A request and its response over the simulated network, with a timeout at the sender. */
 import type { Clock } from '../../src/common/clock.js';
 import { MachineClock } from './machine-clock.js';
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
-/** Between whom, and for how long. */
+/** The sender, the receiver and the timeout of an exchange. */
 export interface ExchangeLink {
   readonly clock: Clock;
   readonly network: SimNetwork;
@@ -13,10 +13,10 @@
 }
 
 /**
- * Asks once.
- * @param ask runs at the receiver and answers at most once
- * @param done hears the answer, or undefined when none came in time or the receiver's process is gone;
- *   nothing when the asking process itself has ended meanwhile
+ * Sends one request and waits for the response.
+ * @param ask runs at the receiver and calls its callback at most once
+ * @param done called with the response, or with undefined after the timeout or when the receiver's process
+ *   has ended; not called when the sender's process has ended in the meantime
  */
 export function exchange<Answer>(
   link: ExchangeLink,
--- a/lab/simulator/sim-network.ts
+++ b/lab/simulator/sim-network.ts
@@ -1,18 +1,18 @@
 /**
- * The simulator's network: messages between machines arrive after a latency that depends on their
- * zones, are lost while a machine is cut off, and wait while a machine is frozen.
+ * The simulated network: messages between machines arrive after a latency that depends on their zones,
+ * are lost while a machine is cut off, and are deferred while the receiver is frozen.
  */
 import type { Clock } from '../../src/common/clock.js';
 import type { RandomSource } from '../../src/common/random.js';
 
-/** Which messages of a cut-off machine are lost. */
+/** The direction in which a machine that is cut off loses messages. */
 export type CutDirection = 'both' | 'inbound' | 'outbound';
 
 const JITTER_FRACTION = 0.2;
 
 /** A machine of the simulated deployment. */
 export class SimMachine {
-  /** Counts starts; messages and timers of an earlier start are void. */
+  /** Number of starts. Messages and timers of an earlier incarnation are dropped. */
   incarnation = 1;
   alive = true;
   private frozen = false;
@@ -30,7 +30,7 @@
     return this.frozen;
   }
 
-  /** Runs `work` now, or after the thaw. Dropped when the machine ends meanwhile. */
+  /** Runs `work` now, or after the thaw if the machine is frozen. Drops it if the machine is killed before. */
   run(work: () => void): void {
     if (!this.alive) return;
     if (this.frozen) this.deferredWork.push(work);
@@ -60,7 +60,6 @@
   }
 }
 
-/** What the network is made of. */
 export interface SimNetworkOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -74,8 +73,8 @@
   constructor(private readonly options: SimNetworkOptions) {}
 
   /**
-   * Delivers a message to the incarnation of `to` that runs now.
-   * @param onLost called after a round trip when the receiver's process is gone, as a TCP reset
+   * Delivers a message to the current incarnation of `to`.
+   * @param onLost called after a round trip when the receiver's process has ended, like a TCP reset
    */
   send(from: SimMachine, to: SimMachine, deliver: () => void, onLost?: () => void): void {
     if (this.isCut(from, to)) return;
@@ -90,7 +89,7 @@
     });
   }
 
-  /** Whether messages from one machine to the other are lost now. */
+  /** Whether messages from `from` to `to` are currently lost. */
   isCut(from: SimMachine, to: SimMachine): boolean {
     const fromBlocked = from.cut === 'both' || from.cut === 'outbound';
     const toBlocked = to.cut === 'both' || to.cut === 'inbound';
@@ -102,7 +101,7 @@
     return this.jitter(base) + from.extraLatencyMs + to.extraLatencyMs;
   }
 
-  /** A latency with its random part. */
+  /** Adds a random part to a latency. */
   jitter(latencyMs: number): number {
     return latencyMs * (1 + JITTER_FRACTION * this.options.random.next());
   }
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated target with its node: the product's decision modules, unchanged, around the stand-in back end. Owns
- * what a restart of the node loses.
+ * One simulated target with its node: the product's own admission, routing and claim modules around a
+ * back-end model.
  */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { AdmissionController } from '../../src/admission/admission-controller.js';
@@ -36,23 +36,23 @@
 import type { SimWorld } from './sim-world.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** As in the node program. */
+/** Same values as in the node program. */
 const LEAVING_LINGER_MS = 3_000;
 const MAX_DRAIN_MS = 10_000;
 const DRAIN_CHECK_MS = 50;
-/** Of a message about claims. */
+/** Timeout of a claim message. */
 const CLAIM_TIMEOUT_MS = 1_000;
 const UNLIMITED = 1_000_000;
 const STATUS_OK = 200;
 
-/** The answer to one call, with what the caller's side needs to know. */
+/** Receives the answer to one call and its outcome. */
 export type AnswerCallback = (answer: NodeAnswer) => void;
 
 export class SimTarget {
   readonly machine: SimMachine;
   readonly backend: BackendModel;
   leaving = false;
-  /** When the platform decided that the machine leaves. */
+  /** When the platform marked the machine as leaving; kept over restarts of the process. */
   private leavingSince: number | undefined;
   private directory!: ServiceDirectory;
   private admission: AdmissionController;
@@ -81,12 +81,11 @@
     this.startClaims();
   }
 
-  /** The node as a keeper of claims. */
   get claimReplica(): ClaimReplica {
     return this.replica;
   }
 
-  /** Starts the process again with nothing in memory. */
+  /** Restarts the process; its state in memory is lost. */
   restart(): void {
     this.machine.restart();
     this.backend.reset();
@@ -101,14 +100,14 @@
     if (view !== undefined) this.replica.setView(view);
   }
 
-  /** The platform has the machine leave; the node is told at once, the list later. */
+  /** Marks the node as leaving at once and schedules its planned stop. */
   leave(): void {
     this.leavingSince = this.world.clock.now();
     this.leaving = true;
     this.clock.schedule(LEAVING_LINGER_MS, () => this.endWhenIdle(MAX_DRAIN_MS));
   }
 
-  /** The planned stop ends the process once nothing is in flight, or after the longest drain. */
+  /** Ends the process once no call is in flight, or when the drain time is over. */
   private endWhenIdle(remainingMs: number): void {
     if (!this.leaving) return;
     if (this.inboundByLabId.size > 0 && remainingMs > 0) {
@@ -120,7 +119,7 @@
     this.world.announceEndpoints();
   }
 
-  /** A process that has just started has forgotten that it was told to leave: the list says so. */
+  /** Restores the leaving state after a restart, with the delay of the platform's list. */
   private restoreLeavingState(): void {
     this.leaving = false;
     if (this.leavingSince === undefined) return;
@@ -131,7 +130,7 @@
     });
   }
 
-  /** A call arrives at the node. */
+  /** Handles an inbound call at the node. */
   handle(request: SimRequest, context: CallContext, answer: AnswerCallback): Cancellable {
     const { service } = this.placement;
     const table = this.world.table;
@@ -186,7 +185,7 @@
     if (this.inboundByLabId.get(request.labId) === call) this.inboundByLabId.delete(request.labId);
   }
 
-  /** The back end calls another service through its node. */
+  /** Sends a nested call of the back end to another service through this node. */
   private callDownstream(
     call: NestedCallModel,
     labId: string,
@@ -308,7 +307,7 @@
   }
 }
 
-/** Hands a call to the back end on the same machine. */
+/** Sends admitted calls to the back end on the same machine. */
 class SimTargetTransport implements TargetTransport {
   private readonly incarnation: number;
 
@@ -325,7 +324,7 @@
     let cancelled = false;
     const { labId, method, path } = this.request;
     const { machine, backend } = this.target;
-    // The process that admitted this call has ended meanwhile: nothing of it may run.
+    // The process that admitted this call has ended in the meantime, so the call must not run.
     if (!machine.alive || machine.incarnation !== this.incarnation) {
       return { written: false, cancel: () => undefined };
     }
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -1,4 +1,4 @@
-/** Sends attempts over the simulated network, with the semantics of pooled TCP connections. */
+/** Sends attempts over the simulated network; failures behave as with pooled TCP connections. */
 import type { CallContext } from '../../src/call/call-context.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type {
@@ -13,7 +13,7 @@
 import type { SimWorld } from './sim-world.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** A request as it travels through the simulator. */
+/** A simulated request. */
 export interface SimRequest {
   readonly labId: string;
   readonly method: string;
@@ -21,7 +21,7 @@
   readonly idempotencyKey: string | undefined;
 }
 
-/** The answer of a node. */
+/** A node's answer to an inbound call. */
 export interface NodeAnswer {
   readonly status: number;
   readonly bytes: number;
@@ -33,7 +33,7 @@
 export class SimOutboundTransport implements OutboundTransport {
   readonly replayable = true;
 
-  /** @param onRelayed hears the status of an answer that is passed on */
+  /** @param onRelayed called with the status of an answer that is relayed to the caller */
   constructor(
     private readonly world: SimWorld,
     private readonly from: SimMachine,
@@ -96,7 +96,7 @@
     this.world.network.send(this.from, target.machine, () => this.inbound?.cancel());
   }
 
-  /** On an open connection the request vanishes; a new connection cannot be opened. */
+  /** Over an open connection the request is lost without an error; opening a new connection times out. */
   private startIntoCut(target: SimTarget): void {
     if (this.world.connections.has(`${this.from.id}>${target.machine.id}`)) {
       this.wasWritten = true;
@@ -117,7 +117,7 @@
     });
   }
 
-  /** The node's process ended: its connections are reset. */
+  /** The node's process has ended: its connections are reset. */
   private failAfterReset(target: SimTarget): void {
     this.world.network.send(target.machine, this.from, () => this.fail(true));
   }
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment of edges and nodes in virtual time: machines, network, targets, and a stand-in for control that
- * plans claim views and passes the endpoint list on late. One seed gives one run.
+ * A simulated deployment of edges and nodes in virtual time. A simplified control plans claim views and
+ * distributes the endpoint list with a delay. The same seed always gives the same run.
  */
 import type { CallContext } from '../../src/call/call-context.js';
 import { SeededRandom } from '../../src/common/random.js';
@@ -26,18 +26,17 @@
 import { SimTarget } from './sim-target.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** What a world is made of. */
 export interface SimWorldOptions {
   readonly deployment: Deployment;
   readonly resources: readonly Resource[];
   readonly seed: number;
   readonly edges: number;
   readonly mechanisms: Mechanisms;
-  /** Time until a change of the endpoint list has reached every machine. */
+  /** Time until a change of the endpoint list reaches every machine. */
   readonly listDelayMs: number;
 }
 
-/** How often the stand-in for control looks at the nodes that keep claims. */
+/** How often the claim views are planned. */
 const CLAIM_VIEW_INTERVAL_MS = 1_000;
 const UNATTRIBUTED_GROUP = 'unattributed';
 const DEFAULT_DEADLINE_MS = 2_000;
@@ -88,12 +87,11 @@
     return this.target(nodeId);
   }
 
-  /** The targets of a service. */
   targetsOf(service: string): SimTarget[] {
     return this.targets.filter((target) => target.placement.service.name === service);
   }
 
-  /** A directory for the process on `machine`; it follows the endpoint list. */
+  /** Creates a directory for the process on `machine` and keeps it up to date with the endpoint list. */
   createDirectory(machine: SimMachine): ServiceDirectory {
     const directory = new ServiceDirectory({
       clock: this.clock,
@@ -111,32 +109,32 @@
     return this.options.mechanisms;
   }
 
-  /** Time until a change of the platform's list is known. */
+  /** Time until a change of the platform's list is known, in milliseconds. */
   get listDelayMs(): number {
     return this.options.listDelayMs;
   }
 
-  /** The view of a service's claims that a process which has just started is told. */
+  /** The current claim view of a service, for a process that has just started. */
   claimViewOf(service: string): ClaimView | undefined {
     return this.claimViews.get(service);
   }
 
-  /** Gives a directory the present list, as to a process that has just started. */
+  /** Updates a directory to the current endpoint list, as at the start of a process. */
   refreshDirectory(directory: ServiceDirectory): void {
     directory.update(this.records);
   }
 
-  /** One-way latency between callers and the deployment, drawn anew each time. */
+  /** Draws a one-way latency between callers and the deployment. */
   clientLatencyMs(): number {
     return this.network.jitter(this.options.deployment.clientLatencyMs);
   }
 
-  /** The endpoint list has changed: every machine hears of it after the list's delay. */
+  /** Schedules the distribution of a changed endpoint list after the list's delay. */
   announceEndpoints(): void {
     this.clock.schedule(this.options.listDelayMs, () => this.publishEndpoints());
   }
 
-  /** Sends the attempts of callers to edges in turn, over the callers' own latency. */
+  /** Returns a function that sends callers' attempts to the edges in turn, over the client latency. */
   attemptSender(): AttemptSender {
     let turn = 0;
     const groupByKey = new Map(this.table.groupNames().map((name) => [apiKeyOf(name), name]));
@@ -150,7 +148,7 @@
     };
   }
 
-  /** Registers what to do when the process on `machine` ends. */
+  /** Registers a callback for the end of the process on `machine`; one per owner. */
   onProcessEnd(machine: SimMachine, owner: object, callback: () => void): void {
     let callbacks = this.processEndListeners.get(machine);
     if (callbacks === undefined) {
@@ -164,7 +162,7 @@
     this.processEndListeners.get(machine)?.delete(owner);
   }
 
-  /** Ends the process on a machine at once. */
+  /** Ends the process on a machine immediately and closes its connections. */
   kill(machine: SimMachine): void {
     machine.kill();
     const callbacks = this.processEndListeners.get(machine);
@@ -177,7 +175,7 @@
     }
   }
 
-  /** The context of a nested call that cannot be tied to an inbound call. */
+  /** The context of a nested call that cannot be attributed to an inbound call. */
   unattributedContext(call: NestedCallModel): CallContext {
     const kind = this.table.matchKind(call.method, call.path);
     return {
@@ -249,7 +247,7 @@
     return { cancel };
   }
 
-  /** Stands for control: plans views and lets every live node know after the list's delay. */
+  /** Plans claim views, as control does, and sends them to every live node after the list's delay. */
   private planClaimViews(): void {
     for (const { name } of this.options.deployment.services) this.planClaimView(name);
     this.clock.schedule(CLAIM_VIEW_INTERVAL_MS, () => this.planClaimViews());
--- a/lab/simulator/unbounded-allowance.ts
+++ b/lab/simulator/unbounded-allowance.ts
@@ -1,9 +1,8 @@
-/** Lab only: the allowance of a hop that retries as it likes, whatever the others do. */
+/** Lab only: a retry allowance that does not take the retries of other hops into account. */
 import { RetryAllowance, RetryLoan } from '../../src/retry/retry-allowance.js';
 
-/** Retries of one call at one hop. */
 const RETRIES_PER_HOP = 2;
-/** Lets every call be retried as often as its hop likes. */
+/** Permits the full number of retries for every call. */
 export const UNBOUNDED_RETRY_RATIO = RETRIES_PER_HOP;
 
 export class UnboundedAllowance extends RetryAllowance {
