--- a/lab/simulator/replication/replication-checker.ts
+++ b/lab/simulator/replication/replication-checker.ts
@@ -69,7 +69,7 @@
     if (known === undefined) this.changeIdsByRevision.set(result.revision, command.changeId);
     else if (known !== command.changeId) {
       this.addViolation(
-        `${replica} made revision ${result.revision} of ${command.changeId}, not ${known}`,
+        `${replica} produced revision ${result.revision} from ${command.changeId}, not from ${known}`,
       );
     }
   }
@@ -105,7 +105,9 @@
       const version = result.current?.version ?? 0;
       const expected = stateAtStart.versions.get(key) ?? 0;
       if (result.current !== undefined && version < expected) {
-        this.addViolation(`${command.changeId} met version ${version} of ${key} after ${expected}`);
+        this.addViolation(
+          `${command.changeId} conflicted with version ${version} of ${key} after ${expected} was acknowledged`,
+        );
       }
     }
   }
@@ -114,7 +116,7 @@
   onRead(revision: number, stateAtStart: AcknowledgedState): void {
     if (revision < stateAtStart.revision) {
       this.addViolation(
-        `a read gave revision ${revision} after ${stateAtStart.revision} had been told`,
+        `a read returned revision ${revision} after ${stateAtStart.revision} was acknowledged`,
       );
     }
     this.recordAcknowledged(revision);
@@ -144,7 +146,7 @@
     if (missed === undefined) return;
     const { revision, at } = missed;
     this.addViolation(
-      `${follower} stands at ${applied}, proven for ${provenAt} ms; ${revision} was told at ${at} ms`,
+      `${follower} has applied ${applied}, proven for ${provenAt} ms; ${revision} was acknowledged at ${at} ms`,
     );
   }
 
@@ -191,7 +193,7 @@
     }
     if (revision <= stateAtStart.revision) {
       this.addViolation(
-        `${changeId} became revision ${revision} after ${stateAtStart.revision} was told`,
+        `${changeId} became revision ${revision} after ${stateAtStart.revision} was acknowledged`,
       );
     }
     if (!isRepeat) this.accepted.push({ changeId, revision });
