--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -32,8 +32,8 @@
   }
 
   get isFaulty(): boolean {
-    const { alive, isFrozen, cut } = this.machine;
-    return !alive || isFrozen || cut !== undefined || this.isStopping;
+    const { isAlive, isFrozen, cut } = this.machine;
+    return !isAlive || isFrozen || cut !== undefined || this.isStopping;
   }
 
   candidate(): ClaimCandidate {
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -88,9 +88,9 @@
 
   private sendCall(): void {
     const key = this.nextKey();
-    const live = this.nodes.filter((node) => node.machine.alive);
+    const live = this.nodes.filter((node) => node.machine.isAlive);
     const node = live[this.random.below(live.length)];
-    node?.machine.run(() => {
+    node?.machine.runOrDefer(() => {
       node.call(key, (decision) => {
         this.decisionCounts.set(decision, (this.decisionCounts.get(decision) ?? 0) + 1);
         if (decision === 'granted') this.runCounts.set(key, (this.runCounts.get(key) ?? 0) + 1);
@@ -127,7 +127,7 @@
   private recover(node: ClaimNode): void {
     node.machine.cut = undefined;
     if (node.machine.isFrozen) node.machine.thaw();
-    if (!node.machine.alive) node.restart(this.view);
+    if (!node.machine.isAlive) node.restart(this.view);
   }
 
   /** Plans the claim view, as control does, and sends it to the nodes after a random delay. */
@@ -147,7 +147,8 @@
       const delayMs = now === 0 ? 0 : this.random.next() * VIEW_DELAY_MS;
       this.clock.schedule(delayMs, () => {
         // A node that is cut off misses this view and receives a later one.
-        if (node.machine.cut === undefined) node.machine.run(() => node.claimReplica.setView(next));
+        if (node.machine.cut === undefined)
+          node.machine.runOrDefer(() => node.claimReplica.setView(next));
       });
     }
   }
--- a/lab/simulator/direct-path.ts
+++ b/lab/simulator/direct-path.ts
@@ -93,7 +93,7 @@
     request: DirectRequest,
     done: (status: number) => void,
   ): Cancellable {
-    const targets = this.world.targetsOf(service).filter((target) => target.machine.alive);
+    const targets = this.world.targetsOf(service).filter((target) => target.machine.isAlive);
     const target = targets[this.random.below(targets.length)];
     let call: BackendCall | undefined;
     let cancelled = false;
@@ -125,7 +125,10 @@
   ): void {
     const { network } = this.world;
     if (from !== undefined) network.send(from, target.machine, arrive);
-    else this.world.clock.schedule(this.world.clientLatencyMs(), () => target.machine.run(arrive));
+    else
+      this.world.clock.schedule(this.world.clientLatencyMs(), () =>
+        target.machine.runOrDefer(arrive),
+      );
   }
 
   private deliverResponse(target: SimTarget, to: SimMachine | undefined, arrive: () => void): void {
--- a/lab/simulator/machine-clock.ts
+++ b/lab/simulator/machine-clock.ts
@@ -20,7 +20,7 @@
     let cancelled = false;
     const timer = this.base.schedule(delayMs, () => {
       if (this.machine.incarnation !== incarnation) return;
-      this.machine.run(() => {
+      this.machine.runOrDefer(() => {
         if (!cancelled) callback();
       });
     });
--- a/lab/simulator/replication/replication-faults.ts
+++ b/lab/simulator/replication/replication-faults.ts
@@ -33,7 +33,7 @@
     const { random, replicas } = this.world;
     if (random.next() >= FAULT_CHANCE_PER_STEP) return;
     const fault = this.faults[random.below(this.faults.length)]!;
-    // The leader is the target in about half of the cases.
+    // Faults hit the leader, if there is one, in more than half of the cases.
     const leader = replicas.find((replica) => replica.running?.raftStatus?.role === 'leader');
     const other = replicas[random.below(replicas.length)]!;
     fault(leader !== undefined && random.next() < 0.5 ? leader : other);
@@ -46,7 +46,7 @@
     for (const replica of replicas) replica.disk.full = false;
     for (const { machine } of [...replicas, ...followers]) this.restoreMachine(machine);
     for (const process of [...replicas, ...followers]) {
-      if (!process.machine.alive) process.restart();
+      if (!process.machine.isAlive) process.restart();
     }
     // A replica that failed on a full disk needs a restart.
     for (const replica of replicas) {
@@ -55,21 +55,21 @@
   }
 
   private crash(replica: SimReplica): void {
-    if (!replica.machine.alive) return;
+    if (!replica.machine.isAlive) return;
     this.logFault(`crash ${replica.name}`);
     replica.crash();
     this.scheduleRecovery(() => this.restartIfDown(replica));
   }
 
   private stop(replica: SimReplica): void {
-    if (!replica.machine.alive || replica.machine.isFrozen) return;
+    if (!replica.machine.isAlive || replica.machine.isFrozen) return;
     this.logFault(`stop ${replica.name}`);
     replica.stop();
     this.scheduleRecovery(() => this.restartIfDown(replica));
   }
 
   private freeze(machine: SimMachine): void {
-    if (!machine.alive) return;
+    if (!machine.isAlive) return;
     this.logFault(`freeze ${machine.id}`);
     machine.freeze();
     this.scheduleRecovery(() => machine.thaw());
@@ -84,7 +84,7 @@
 
   /** Wipes a disk only while all voters are in place: losing two disks at once loses data by design. */
   private loseDisk(replica: SimReplica): void {
-    if (!replica.machine.alive || !this.areAllVotersSettled()) return;
+    if (!replica.machine.isAlive || !this.areAllVotersSettled()) return;
     this.logFault(`lose disk ${replica.name}`);
     replica.crash();
     replica.disk.wipe();
@@ -92,7 +92,7 @@
   }
 
   private fillDisk(replica: SimReplica): void {
-    if (!replica.machine.alive) return;
+    if (!replica.machine.isAlive) return;
     this.logFault(`fill disk ${replica.name}`);
     replica.disk.full = true;
     this.scheduleRecovery(() => {
@@ -104,7 +104,7 @@
   private restartFollower(): void {
     const { random, followers } = this.world;
     const follower = followers[random.below(followers.length)]!;
-    if (!follower.machine.alive) return;
+    if (!follower.machine.isAlive) return;
     this.logFault(`restart ${follower.machine.id}`);
     follower.crash();
     follower.restart();
@@ -134,7 +134,7 @@
   }
 
   private restartIfDown(replica: SimReplica): void {
-    if (!replica.machine.alive) replica.restart();
+    if (!replica.machine.isAlive) replica.restart();
   }
 
   private restartNow(replica: SimReplica): void {
--- a/lab/simulator/replication/replication-network.ts
+++ b/lab/simulator/replication/replication-network.ts
@@ -2,7 +2,7 @@
 import type { VirtualClock } from '../../../src/common/virtual-clock.js';
 import type { RandomSource } from '../../../src/common/random.js';
 import type { MessageTarget } from '../../../src/consensus/raft-types.js';
-import type { ExchangeLink } from '../sim-exchange.js';
+import type { ExchangeOptions } from '../sim-exchange.js';
 import { SimNetwork, type SimMachine } from '../sim-network.js';
 import type { SimReplica } from './sim-replica.js';
 
@@ -30,7 +30,7 @@
   }
 
   /** The clock and network for an exchange of messages. */
-  get exchangeDefaults(): Pick<ExchangeLink, 'clock' | 'network'> {
+  get exchangeDefaults(): Pick<ExchangeOptions, 'clock' | 'network'> {
     return { clock: this.clock, network: this.network };
   }
 
--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -38,7 +38,7 @@
 
   /** Revision applied here; undefined before the first one and while the process is down. */
   get appliedRevision(): number | undefined {
-    return this.machine.alive ? this.applied : undefined;
+    return this.machine.isAlive ? this.applied : undefined;
   }
 
   /** Sends periodic heartbeats to every replica to bound the age of its configuration, as product followers do. */
@@ -59,7 +59,7 @@
   /** Time before which every acknowledged change is applied here, according to the proof; undefined if not running. */
   get provenAt(): number | undefined {
     const { clock } = this.network;
-    if (!this.machine.alive || this.machine.isFrozen) return undefined;
+    if (!this.machine.isAlive || this.machine.isFrozen) return undefined;
     return clock.now() - this.proof.ageMs(clock.now());
   }
 
--- a/lab/simulator/replication/sim-replica.ts
+++ b/lab/simulator/replication/sim-replica.ts
@@ -80,7 +80,7 @@
   }
 
   get running(): ReplicaHost | undefined {
-    return this.machine.alive ? this.host : undefined;
+    return this.machine.isAlive ? this.host : undefined;
   }
 
   start(): void {
--- a/lab/simulator/sim-exchange.ts
+++ b/lab/simulator/sim-exchange.ts
@@ -4,7 +4,7 @@
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
 /** The sender, the receiver and the timeout of an exchange. */
-export interface ExchangeLink {
+export interface ExchangeOptions {
   readonly clock: Clock;
   readonly network: SimNetwork;
   readonly from: SimMachine;
@@ -14,16 +14,16 @@
 
 /**
  * Sends one request and waits for the response.
- * @param ask runs at the receiver and calls its callback at most once
+ * @param handleRequest runs at the receiver and calls its callback at most once
  * @param done called with the response, or with undefined after the timeout or when the receiver's process
  *   has ended; not called when the sender's process has ended in the meantime
  */
 export function exchange<Answer>(
-  link: ExchangeLink,
-  ask: (answer: (answer: Answer) => void) => void,
+  options: ExchangeOptions,
+  handleRequest: (answer: (answer: Answer) => void) => void,
   done: (answer: Answer | undefined) => void,
 ): void {
-  const { network, from, to } = link;
+  const { network, from, to } = options;
   const { incarnation } = from;
   let settled = false;
   const settle = (answer: Answer | undefined): void => {
@@ -32,12 +32,12 @@
     timeout.cancel();
     done(answer);
   };
-  const clock = new MachineClock(link.clock, from);
-  const timeout = clock.schedule(link.timeoutMs, () => settle(undefined));
+  const clock = new MachineClock(options.clock, from);
+  const timeout = clock.schedule(options.timeoutMs, () => settle(undefined));
   network.send(
     from,
     to,
-    () => ask((answer) => network.send(to, from, () => settle(answer))),
+    () => handleRequest((answer) => network.send(to, from, () => settle(answer))),
     () => settle(undefined),
   );
 }
--- a/lab/simulator/sim-network.ts
+++ b/lab/simulator/sim-network.ts
@@ -14,7 +14,7 @@
 export class SimMachine {
   /** Number of starts. Messages and timers of an earlier incarnation are dropped. */
   incarnation = 1;
-  alive = true;
+  isAlive = true;
   private frozen = false;
   private deferredWork: (() => void)[] = [];
   cut: CutDirection | undefined;
@@ -31,8 +31,8 @@
   }
 
   /** Runs `work` now, or after the thaw if the machine is frozen. Drops it if the machine is killed before. */
-  run(work: () => void): void {
-    if (!this.alive) return;
+  runOrDefer(work: () => void): void {
+    if (!this.isAlive) return;
     if (this.frozen) this.deferredWork.push(work);
     else work();
   }
@@ -45,17 +45,17 @@
     this.frozen = false;
     const deferredWork = this.deferredWork;
     this.deferredWork = [];
-    for (const work of deferredWork) this.run(work);
+    for (const work of deferredWork) this.runOrDefer(work);
   }
 
   kill(): void {
-    this.alive = false;
+    this.isAlive = false;
     this.frozen = false;
     this.deferredWork = [];
   }
 
   restart(): void {
-    this.alive = true;
+    this.isAlive = true;
     this.incarnation += 1;
   }
 }
@@ -81,11 +81,12 @@
     const latencyMs = this.latencyMs(from, to);
     const { incarnation } = to;
     this.options.clock.schedule(latencyMs, () => {
-      if (!to.alive || to.incarnation !== incarnation) {
-        if (onLost !== undefined) this.options.clock.schedule(latencyMs, () => from.run(onLost));
+      if (!to.isAlive || to.incarnation !== incarnation) {
+        if (onLost !== undefined)
+          this.options.clock.schedule(latencyMs, () => from.runOrDefer(onLost));
         return;
       }
-      to.run(deliver);
+      to.runOrDefer(deliver);
     });
   }
 
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -51,7 +51,7 @@
 export class SimTarget {
   readonly machine: SimMachine;
   readonly backend: BackendModel;
-  leaving = false;
+  isLeaving = false;
   /** When the platform marked the machine as leaving; kept over restarts of the process. */
   private leavingSince: number | undefined;
   private directory!: ServiceDirectory;
@@ -103,13 +103,13 @@
   /** Marks the node as leaving at once and schedules its planned stop. */
   leave(): void {
     this.leavingSince = this.world.clock.now();
-    this.leaving = true;
+    this.isLeaving = true;
     this.clock.schedule(LEAVING_LINGER_MS, () => this.endWhenIdle(MAX_DRAIN_MS));
   }
 
   /** Ends the process once no call is in flight, or when the drain time is over. */
   private endWhenIdle(remainingMs: number): void {
-    if (!this.leaving) return;
+    if (!this.isLeaving) return;
     if (this.inboundByLabId.size > 0 && remainingMs > 0) {
       this.clock.schedule(DRAIN_CHECK_MS, () => this.endWhenIdle(remainingMs - DRAIN_CHECK_MS));
       return;
@@ -121,11 +121,11 @@
 
   /** Restores the leaving state after a restart, with the delay of the platform's list. */
   private restoreLeavingState(): void {
-    this.leaving = false;
+    this.isLeaving = false;
     if (this.leavingSince === undefined) return;
     const knownInMs = this.leavingSince + this.world.listDelayMs - this.world.clock.now();
     this.clock.schedule(knownInMs, () => {
-      this.leaving = true;
+      this.isLeaving = true;
       this.world.announceEndpoints();
     });
   }
@@ -146,7 +146,7 @@
       {
         clock: this.clock,
         admission: this.admission,
-        isLeaving: () => this.leaving && this.mechanisms.leaving,
+        isLeaving: () => this.isLeaving && this.mechanisms.leaving,
         claims: this.claims,
       },
       new SimTargetTransport(this, request, context, (status, bytes) =>
@@ -325,7 +325,7 @@
     const { labId, method, path } = this.request;
     const { machine, backend } = this.target;
     // The process that admitted this call has ended in the meantime, so the call must not run.
-    if (!machine.alive || machine.incarnation !== this.incarnation) {
+    if (!machine.isAlive || machine.incarnation !== this.incarnation) {
       return { written: false, cancel: () => undefined };
     }
     const call: BackendCall | undefined = backend.accept(
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -77,7 +77,7 @@
       this.startIntoCut(target);
       return;
     }
-    this.wasWritten = target.machine.alive;
+    this.wasWritten = target.machine.isAlive;
     const remainingMs = context.deadlineAt - clock.now();
     network.send(
       this.from,
@@ -102,7 +102,9 @@
       this.wasWritten = true;
       return;
     }
-    this.world.clock.schedule(CONNECT_TIMEOUT_MS, () => this.from.run(() => this.fail(false)));
+    this.world.clock.schedule(CONNECT_TIMEOUT_MS, () =>
+      this.from.runOrDefer(() => this.fail(false)),
+    );
   }
 
   private arrive(target: SimTarget, context: CallContext, request: SimRequest): void {
@@ -111,7 +113,7 @@
     this.inbound = target.handle(request, context, (answer) => {
       this.world.removeProcessEndListener(target.machine, this);
       if (target.machine.incarnation !== incarnation) return;
-      target.machine.run(() =>
+      target.machine.runOrDefer(() =>
         this.world.network.send(target.machine, this.from, () => this.receive(answer)),
       );
     });
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -256,17 +256,17 @@
   private planClaimView(service: string): void {
     const now = this.clock.now();
     const live = this.targetsOf(service).filter(
-      ({ machine }) => machine.alive && !machine.isFrozen,
+      ({ machine }) => machine.isAlive && !machine.isFrozen,
     );
     for (const { machine } of live) this.lastAliveAt.set(machine.id, now);
     const next = nextClaimView({
       service,
       current: this.claimViews.get(service),
-      candidates: live.map(({ machine, claimReplica, leaving }) => ({
+      candidates: live.map(({ machine, claimReplica, isLeaving }) => ({
         id: machine.id,
         zone: machine.zone,
         incarnation: machine.incarnation,
-        isLeaving: leaving,
+        isLeaving,
         settledEpoch: claimReplica.settledEpoch,
       })),
       silentForMs: (id) => now - (this.lastAliveAt.get(id) ?? 0),
@@ -276,21 +276,21 @@
     const delayMs = now === 0 ? 0 : this.options.listDelayMs;
     this.clock.schedule(delayMs, () => {
       for (const target of this.targetsOf(service)) {
-        target.machine.run(() => target.claimReplica.setView(next));
+        target.machine.runOrDefer(() => target.claimReplica.setView(next));
       }
     });
   }
 
   private publishEndpoints(): void {
     this.records = this.targets
-      .filter((target) => target.machine.alive)
+      .filter((target) => target.machine.isAlive)
       .map((target) => ({
         id: target.placement.nodeId,
         incarnation: target.machine.incarnation,
         service: target.placement.service.name,
         zone: target.placement.zone,
         origin: `http://${target.placement.nodeId}`,
-        state: target.leaving ? 'leaving' : 'ready',
+        state: target.isLeaving ? 'leaving' : 'ready',
       }));
     for (const directory of this.directories) directory.update(this.records);
   }
