--- a/lab/simulator/claims/claim-node.ts
+++ b/lab/simulator/claims/claim-node.ts
@@ -1,25 +1,25 @@
-/** One node of a {@link ClaimWorld}: the product's claim modules, unchanged, over the simulated network. */
+/** One node of a {@link ClaimWorld}: the product's claim modules over the simulated network. */
 import type { ClaimDecision } from '../../../src/dedup/claim.js';
 import type { ClaimCandidate } from '../../../src/control/claim-view-planner.js';
 import { ClaimReplica } from '../../../src/dedup/claim-replica.js';
 import type { ClaimView } from '../../../src/dedup/claim-view.js';
 import { QuorumClaims } from '../../../src/dedup/quorum-claims.js';
 import { MachineClock } from '../machine-clock.js';
-import { SimClaimTransport, type ClaimKeeper } from '../sim-claim-transport.js';
+import { SimClaimTransport, type ClaimReplicaHost } from '../sim-claim-transport.js';
 import { SimMachine } from '../sim-network.js';
 import type { ClaimWorld } from './claim-world.js';
 
 const TIMEOUT_MS = 300;
-/** A call that was granted its key answers after this time. */
-const WORK_MS = 50;
+/** Time until a call that was granted its key is answered. */
+const EXECUTION_MS = 50;
 const DEADLINE_MS = 1_000;
 const UNWRITTEN_CHANCE = 0.1;
 
-export class ClaimNode implements ClaimKeeper {
+export class ClaimNode implements ClaimReplicaHost {
   readonly machine: SimMachine;
   claimReplica!: ClaimReplica;
   private claims!: QuorumClaims;
-  private stopping = false;
+  private isStopping = false;
 
   constructor(
     readonly id: string,
@@ -31,9 +31,9 @@
     this.start();
   }
 
-  get isDisturbed(): boolean {
-    const { alive, isFrozen, cut } = this.machine;
-    return !alive || isFrozen || cut !== undefined || this.stopping;
+  get isFaulty(): boolean {
+    const { isAlive, isFrozen, cut } = this.machine;
+    return !isAlive || isFrozen || cut !== undefined || this.isStopping;
   }
 
   candidate(): ClaimCandidate {
@@ -46,20 +46,20 @@
     this.machine.kill();
   }
 
-  /** A planned stop: hands over, then ends. */
+  /** Planned stop: hands the claims over, then ends the process. */
   stop(): void {
-    this.stopping = true;
+    this.isStopping = true;
     this.claimReplica.handOver(() => this.machine.kill());
   }
 
   restart(view: ClaimView | undefined): void {
     this.machine.restart();
-    this.stopping = false;
+    this.isStopping = false;
     this.start();
     if (view !== undefined) this.claimReplica.setView(view);
   }
 
-  /** A call with a key has arrived. Hears `granted` at the moment when it runs. */
+  /** Handles a call with a key. `onDecision` is called with `granted` when the call runs. */
   call(key: string, onDecision: (decision: string) => void): void {
     const clock = new MachineClock(this.world.clock, this.machine);
     const deadlineAt = clock.now() + DEADLINE_MS;
@@ -68,7 +68,7 @@
         onDecision(decision.type);
         return;
       }
-      // As the inbound call does: past its deadline, or not written to the target, it does not run.
+      // As in the product, a call past its deadline or not written to the target does not run.
       const isLate = clock.now() >= deadlineAt;
       if (isLate || this.world.random.next() < UNWRITTEN_CHANCE) {
         clock.schedule(0, () => handle.release());
@@ -76,7 +76,7 @@
         return;
       }
       onDecision('granted');
-      clock.schedule(WORK_MS, () => handle.onAnswered());
+      clock.schedule(EXECUTION_MS, () => handle.onAnswered());
     });
   }
 
--- a/lab/simulator/claims/claim-world.ts
+++ b/lab/simulator/claims/claim-world.ts
@@ -1,6 +1,6 @@
 /**
- * Nodes of one service that claim keys and keep claims, in virtual time, under restarts, cuts,
- * freezes, planned stops and changes of the node list. Counts how often each key's call ran.
+ * Simulates the nodes of one service that claim keys, under crashes, network cuts, freezes, planned stops
+ * and changes of the claim view. Counts how often the call of each key ran.
  */
 import { SeededRandom } from '../../../src/common/random.js';
 import { VirtualClock } from '../../../src/common/virtual-clock.js';
@@ -13,7 +13,7 @@
   readonly seed: number;
   readonly nodes: number;
   readonly durationMs: number;
-  /** Lab only: replicas that believe that they know every claim. */
+  /** Lab only: whether replicas assume that they know every claim, also after a restart. */
   readonly assumeWhole: boolean;
 }
 
@@ -32,15 +32,15 @@
 const VIEW_STEPS = 25;
 const VIEW_DELAY_MS = 300;
 const CALLS_PER_STEP = 2;
-/** Resends come close after one another and to other nodes. */
+/** Number of recent keys from which a resend chooses. */
 const RECENT_KEYS = 6;
 const RESEND_CHANCE = 0.7;
 const FAULT_CHANCE_PER_STEP = 0.03;
 const MAX_FAULT_MS = 3_000;
-/** Nodes that may be down or cut off together. */
-const MAX_DISTURBED = 2;
+/** Maximum number of nodes with a fault at the same time. */
+const MAX_FAULTY_NODES = 2;
 const ZONE_LATENCY_MS = 1;
-/** Silence counts this many times here, so that views change more often than in the product. */
+/** Multiplies the time without contact, so that views change more often than in the product. */
 const SILENCE_FACTOR = 30;
 
 export class ClaimWorld {
@@ -49,11 +49,11 @@
   readonly network: SimNetwork;
   private readonly nodes: ClaimNode[];
   private view: ClaimView | undefined;
-  private readonly heardAt = new Map<string, number>();
-  private readonly runs = new Map<string, number>();
-  private readonly decisions = new Map<string, number>();
+  private readonly lastSeenAt = new Map<string, number>();
+  private readonly runCounts = new Map<string, number>();
+  private readonly decisionCounts = new Map<string, number>();
   private readonly recentKeys: string[] = [];
-  private keys = 0;
+  private keyCount = 0;
 
   constructor(private readonly run: ClaimRun) {
     this.random = new SeededRandom(run.seed);
@@ -68,7 +68,7 @@
     });
   }
 
-  claimKeeper(id: string): ClaimNode {
+  claimReplicaHost(id: string): ClaimNode {
     return this.nodes.find((node) => node.id === id)!;
   }
 
@@ -76,24 +76,24 @@
     for (let step = 0; this.clock.now() < this.run.durationMs; step += 1) {
       if (step % VIEW_STEPS === 0) this.planView();
       for (let call = 0; call < CALLS_PER_STEP; call += 1) this.sendCall();
-      if (this.random.next() < FAULT_CHANCE_PER_STEP) this.disturb();
+      if (this.random.next() < FAULT_CHANCE_PER_STEP) this.injectFault();
       this.clock.advance(STEP_MS);
     }
-    const violations = [...this.runs]
+    const violations = [...this.runCounts]
       .filter(([, count]) => count > 1)
       .map(([key, count]) => `${key} ran ${count} times`);
     const { seed } = this.run;
-    return { seed, violations, ran: this.runs.size, decisions: this.decisions };
+    return { seed, violations, ran: this.runCounts.size, decisions: this.decisionCounts };
   }
 
   private sendCall(): void {
     const key = this.nextKey();
-    const live = this.nodes.filter((node) => node.machine.alive);
+    const live = this.nodes.filter((node) => node.machine.isAlive);
     const node = live[this.random.below(live.length)];
-    node?.machine.run(() => {
+    node?.machine.runOrDefer(() => {
       node.call(key, (decision) => {
-        this.decisions.set(decision, (this.decisions.get(decision) ?? 0) + 1);
-        if (decision === 'granted') this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
+        this.decisionCounts.set(decision, (this.decisionCounts.get(decision) ?? 0) + 1);
+        if (decision === 'granted') this.runCounts.set(key, (this.runCounts.get(key) ?? 0) + 1);
       });
     });
   }
@@ -102,52 +102,53 @@
     if (this.recentKeys.length > 0 && this.random.next() < RESEND_CHANCE) {
       return this.recentKeys[this.random.below(this.recentKeys.length)]!;
     }
-    this.keys += 1;
-    const key = `key-${this.keys}`;
+    this.keyCount += 1;
+    const key = `key-${this.keyCount}`;
     this.recentKeys.push(key);
     if (this.recentKeys.length > RECENT_KEYS) {
-      // Now and then an old key comes again much later.
+      // Evicts a random key, so that some old keys are resent much later.
       this.recentKeys.splice(this.random.below(RECENT_KEYS), 1);
     }
     return key;
   }
 
-  private disturb(): void {
-    const steady = this.nodes.filter((node) => !node.isDisturbed);
-    if (this.nodes.length - steady.length >= MAX_DISTURBED) return;
-    const node = steady[this.random.below(steady.length)]!;
+  private injectFault(): void {
+    const healthy = this.nodes.filter((node) => !node.isFaulty);
+    if (this.nodes.length - healthy.length >= MAX_FAULTY_NODES) return;
+    const node = healthy[this.random.below(healthy.length)]!;
     const kind = this.random.below(4);
     if (kind === 0) node.crash();
     else if (kind === 1) node.stop();
     else if (kind === 2) node.machine.freeze();
     else node.machine.cut = 'both';
-    this.clock.schedule(this.random.next() * MAX_FAULT_MS, () => this.settle(node));
+    this.clock.schedule(this.random.next() * MAX_FAULT_MS, () => this.recover(node));
   }
 
-  private settle(node: ClaimNode): void {
+  private recover(node: ClaimNode): void {
     node.machine.cut = undefined;
     if (node.machine.isFrozen) node.machine.thaw();
-    if (!node.machine.alive) node.restart(this.view);
+    if (!node.machine.isAlive) node.restart(this.view);
   }
 
-  /** Stands for control: the node list follows with a delay, and views follow it. */
+  /** Plans the claim view, as control does, and sends it to the nodes after a random delay. */
   private planView(): void {
     const now = this.clock.now();
-    const heard = this.nodes.filter((node) => !node.isDisturbed);
-    for (const node of heard) this.heardAt.set(node.id, now);
+    const reachable = this.nodes.filter((node) => !node.isFaulty);
+    for (const node of reachable) this.lastSeenAt.set(node.id, now);
     const next = nextClaimView({
       service: SERVICE,
       current: this.view,
-      candidates: heard.map((node) => node.candidate()),
-      silentForMs: (id) => (now - (this.heardAt.get(id) ?? now)) * SILENCE_FACTOR,
+      candidates: reachable.map((node) => node.candidate()),
+      silentForMs: (id) => (now - (this.lastSeenAt.get(id) ?? now)) * SILENCE_FACTOR,
     });
     if (next === undefined) return;
     this.view = next;
     for (const node of this.nodes) {
       const delayMs = now === 0 ? 0 : this.random.next() * VIEW_DELAY_MS;
       this.clock.schedule(delayMs, () => {
-        // A node that is cut off does not hear of it: the next one that it hears of is later.
-        if (node.machine.cut === undefined) node.machine.run(() => node.claimReplica.setView(next));
+        // A node that is cut off misses this view and receives a later one.
+        if (node.machine.cut === undefined)
+          node.machine.runOrDefer(() => node.claimReplica.setView(next));
       });
     }
   }
--- a/lab/simulator/replication/sim-disk.ts
+++ b/lab/simulator/replication/sim-disk.ts
@@ -1,7 +1,6 @@
 /**
- * A disk in virtual time. What was not synced when the machine crashes is lost in whole or in part,
- * as on a real one: of an append some leading bytes may remain, and a replacement whose folder was
- * not synced yet may stand or not.
+ * A simulated disk. A crash loses unsynced writes in whole or in part, as on a real disk: a prefix of an
+ * append may remain, and a file replacement whose folder was not synced may or may not be visible.
  */
 import type { Clock } from '../../../src/common/clock.js';
 import { StorageError } from '../../../src/common/errors.js';
@@ -11,12 +10,11 @@
 const SYNC_MIN_MS = 0.2;
 const SYNC_SPREAD_MS = 3;
 
-/** How the disk behaves. */
 export interface SimDiskOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Lab only: a disk that says that a write is synced before it is. */
-  readonly answersBeforeSync: boolean;
+  /** Lab only: whether writes are acknowledged before they are synced. */
+  readonly acknowledgesBeforeSync: boolean;
 }
 
 interface UnsyncedAppend {
@@ -33,27 +31,27 @@
   private readonly synced = new Map<string, Buffer>();
   private appends: UnsyncedAppend[] = [];
   private replacements: UnsyncedReplacement[] = [];
-  /** Counts crashes: operations of an earlier start end nowhere. */
-  private era = 0;
-  /** Every write fails while the disk is full. */
+  /** Number of crashes. Operations of an earlier incarnation are dropped. */
+  private incarnation = 0;
+  /** Whether every write fails for lack of space. */
   full = false;
 
   constructor(private readonly options: SimDiskOptions) {}
 
-  /** The files as the process that now starts sees them. */
+  /** Opens the files for a process that starts now. */
   mount(): StorageFiles {
-    const { era } = this;
+    const { incarnation } = this;
     return {
       read: (name) => this.synced.get(name),
-      replace: (name, bytes, done) => this.replace(era, name, bytes, done),
-      openAppend: (name, size) => this.openAppend(era, name, size),
+      replace: (name, bytes, done) => this.replace(incarnation, name, bytes, done),
+      openAppend: (name, size) => this.openAppend(incarnation, name, size),
     };
   }
 
-  /** The machine stops at once. */
+  /** Simulates a crash of the machine: unsynced writes are lost or partly kept. */
   crash(): void {
-    this.era += 1;
-    for (const { name, bytes } of this.appends) this.keepPart(name, bytes);
+    this.incarnation += 1;
+    for (const { name, bytes } of this.appends) this.keepPrefix(name, bytes);
     for (const { name, bytes } of this.replacements) {
       if (this.options.random.next() < 0.5) this.synced.set(name, Buffer.from(bytes));
     }
@@ -61,13 +59,13 @@
     this.replacements = [];
   }
 
-  /** The disk is replaced by an empty one. Call after {@link crash}. */
+  /** Replaces the disk by an empty one. Call after {@link crash}. */
   wipe(): void {
     this.synced.clear();
     this.full = false;
   }
 
-  private keepPart(name: string, bytes: Uint8Array): void {
+  private keepPrefix(name: string, bytes: Uint8Array): void {
     const kept = this.options.random.below(bytes.length + 1);
     this.addSynced(name, bytes.subarray(0, kept));
   }
@@ -77,55 +75,56 @@
     this.synced.set(name, Buffer.concat([before, bytes]));
   }
 
-  private openAppend(era: number, name: string, size: number): AppendFile {
+  private openAppend(incarnation: number, name: string, size: number): AppendFile {
     this.synced.set(name, (this.synced.get(name) ?? Buffer.alloc(0)).subarray(0, size));
     return {
-      append: (bytes, done) => this.append(era, name, bytes, done),
+      append: (bytes, done) => this.append(incarnation, name, bytes, done),
       close: () => undefined,
     };
   }
 
-  private append(era: number, name: string, bytes: Uint8Array, done: FileCallback): void {
-    if (this.refuses(era, done)) return;
+  private append(incarnation: number, name: string, bytes: Uint8Array, done: FileCallback): void {
+    if (this.rejectsWrite(incarnation, done)) return;
     const unsynced: UnsyncedAppend = { name, bytes };
     this.appends.push(unsynced);
-    this.afterSync(era, done, () => {
+    this.afterSync(incarnation, done, () => {
       this.appends = this.appends.filter((other) => other !== unsynced);
       this.addSynced(name, bytes);
     });
   }
 
-  private replace(era: number, name: string, bytes: Uint8Array, done: FileCallback): void {
-    if (this.refuses(era, done)) return;
+  private replace(incarnation: number, name: string, bytes: Uint8Array, done: FileCallback): void {
+    if (this.rejectsWrite(incarnation, done)) return;
     const unsynced: UnsyncedReplacement = { name, bytes };
     this.replacements.push(unsynced);
-    this.afterSync(era, done, () => {
+    this.afterSync(incarnation, done, () => {
       this.replacements = this.replacements.filter((other) => other !== unsynced);
       this.synced.set(name, Buffer.from(bytes));
     });
   }
 
-  private refuses(era: number, done: FileCallback): boolean {
-    if (!this.full) return era !== this.era;
+  private rejectsWrite(incarnation: number, done: FileCallback): boolean {
+    if (!this.full) return incarnation !== this.incarnation;
     this.options.clock.schedule(0, () => {
-      if (era === this.era) done(new StorageError('No space is left on the disk.'));
+      if (incarnation === this.incarnation) done(new StorageError('No space is left on the disk.'));
     });
     return true;
   }
 
-  private afterSync(era: number, done: FileCallback, sync: () => void): void {
-    const { clock, random, answersBeforeSync } = this.options;
+  private afterSync(incarnation: number, done: FileCallback, sync: () => void): void {
+    const { clock, random, acknowledgesBeforeSync } = this.options;
     const delayMs = SYNC_MIN_MS + SYNC_SPREAD_MS * random.next();
-    if (answersBeforeSync) clock.schedule(0, () => this.runIn(era, () => done(undefined)));
+    if (acknowledgesBeforeSync)
+      clock.schedule(0, () => this.runIfCurrent(incarnation, () => done(undefined)));
     clock.schedule(delayMs, () => {
-      this.runIn(era, () => {
+      this.runIfCurrent(incarnation, () => {
         sync();
-        if (!answersBeforeSync) done(undefined);
+        if (!acknowledgesBeforeSync) done(undefined);
       });
     });
   }
 
-  private runIn(era: number, work: () => void): void {
-    if (era === this.era) work();
+  private runIfCurrent(incarnation: number, work: () => void): void {
+    if (incarnation === this.incarnation) work();
   }
 }
--- a/lab/simulator/replication/sim-follower.ts
+++ b/lab/simulator/replication/sim-follower.ts
@@ -1,6 +1,6 @@
 /**
- * A node's view of configuration in virtual time: follows any replica, restarts without a disk. The view and the proof
- * of its age are the product's; whom it asks, and when, is its own.
+ * A simulated follower of the configuration without a disk. It uses the product's view and proof of age, but
+ * chooses a random replica for each request.
  */
 import { ConfigurationProof } from '../../../src/follower/configuration-proof.js';
 import { ConfigurationView } from '../../../src/follower/configuration-view.js';
@@ -31,42 +31,39 @@
     private readonly network: ReplicationNetwork,
     private readonly checker: ReplicationChecker,
     private readonly random: RandomSource,
-    private readonly proves: boolean,
+    private readonly tracksStaleness: boolean,
   ) {
     this.machine = new SimMachine(name, zone);
   }
 
-  /** Revision in force here; undefined before the first. */
+  /** Revision applied here; undefined before the first one and while the process is down. */
   get appliedRevision(): number | undefined {
-    return this.machine.alive ? this.applied : undefined;
+    return this.machine.isAlive ? this.applied : undefined;
   }
 
-  /**
-   * Asks every replica now and then how old its configuration may be, as followers do.
-   * Off in runs whose seeds were drawn before there were such heartbeats.
-   */
-  beat(): void {
+  /** Sends periodic heartbeats to every replica to bound the age of its configuration, as product followers do. */
+  sendHeartbeats(): void {
     const { network, machine, replicas } = this;
     const clock = new MachineClock(network.clock, machine);
     const sentAt = clock.now();
     for (const replica of replicas) {
       exchange<ConfirmedRevision>(
-        { ...network.ends, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
+        { ...network.exchangeDefaults, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
         (answer) => replica.heartbeat(answer),
-        (reply) => this.onReply(reply, sentAt),
+        (reply) => this.onHeartbeatReply(reply, sentAt),
       );
     }
-    clock.schedule(HEARTBEAT_MS, () => this.beat());
+    clock.schedule(HEARTBEAT_MS, () => this.sendHeartbeats());
   }
 
-  /** Every change that was acknowledged before this time is in force here, as the process believes. */
+  /** Time before which every acknowledged change is applied here, according to the proof; undefined if not running. */
   get provenAt(): number | undefined {
     const { clock } = this.network;
-    if (!this.machine.alive || this.machine.isFrozen) return undefined;
+    if (!this.machine.isAlive || this.machine.isFrozen) return undefined;
     return clock.now() - this.proof.ageMs(clock.now());
   }
 
-  private onReply(reply: ConfirmedRevision | undefined, sentAt: number): void {
+  private onHeartbeatReply(reply: ConfirmedRevision | undefined, sentAt: number): void {
     if (reply?.confirmedAgeMs === undefined) return;
     const { revision, confirmedAgeMs } = reply;
     const provenAt = sentAt - confirmedAgeMs;
@@ -75,11 +72,11 @@
 
   start(): void {
     this.proof = new ConfigurationProof();
-    if (this.proves) this.beat();
+    if (this.tracksStaleness) this.sendHeartbeats();
     this.view = new ConfigurationView();
     this.applied = undefined;
     this.inForceAtStart = this.checker.inForceRevision;
-    this.ask();
+    this.sync();
   }
 
   crash(): void {
@@ -91,17 +88,17 @@
     this.start();
   }
 
-  private ask(): void {
+  private sync(): void {
     const { network, machine, random, replicas } = this;
     const replica = replicas[random.below(replicas.length)]!;
     const clock = new MachineClock(network.clock, machine);
     const request = this.view.request();
     exchange<SyncResponse | undefined>(
-      { ...network.ends, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
+      { ...network.exchangeDefaults, from: machine, to: replica.machine, timeoutMs: TIMEOUT_MS },
       (answer) => replica.sync(request, answer),
       (response) => {
         if (response !== undefined) this.apply(response);
-        clock.schedule(response === undefined ? RETRY_MS : 0, () => this.ask());
+        clock.schedule(response === undefined ? RETRY_MS : 0, () => this.sync());
       },
     );
   }
--- a/lab/simulator/sim-claim-transport.ts
+++ b/lab/simulator/sim-claim-transport.ts
@@ -1,25 +1,25 @@
-/** Carries messages about claims over a simulated network. Relies on its world to know who keeps claims. */
+/** Sends claim messages over a simulated network. */
 import type { Clock } from '../../src/common/clock.js';
 import type { ClaimMessage, ClaimReply, ClaimTransport } from '../../src/dedup/claim-messages.js';
 import type { ClaimReplica } from '../../src/dedup/claim-replica.js';
 import { exchange } from './sim-exchange.js';
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
-/** A node that keeps claims. */
-export interface ClaimKeeper {
+/** A node with a claim replica. */
+export interface ClaimReplicaHost {
   readonly machine: SimMachine;
   readonly claimReplica: ClaimReplica;
 }
 
-/** What carries the messages, and between whom. */
+/** The clock, the network and the claim replicas that can be reached over it. */
 export interface ClaimNetwork {
   readonly clock: Clock;
   readonly network: SimNetwork;
-  claimKeeper(id: string): ClaimKeeper;
+  claimReplicaHost(id: string): ClaimReplicaHost;
 }
 
 export class SimClaimTransport implements ClaimTransport {
-  /** @param timeoutMs time after which a message counts as not answered */
+  /** @param timeoutMs time after which a request without a reply is reported as `undefined` */
   constructor(
     private readonly world: ClaimNetwork,
     private readonly from: SimMachine,
@@ -33,10 +33,10 @@
   ): void {
     const { network, clock } = this.world;
     const { from, timeoutMs } = this;
-    const keeper = this.world.claimKeeper(memberId);
+    const host = this.world.claimReplicaHost(memberId);
     exchange<ClaimReply>(
-      { network, clock, from, to: keeper.machine, timeoutMs },
-      (answer) => answer(keeper.claimReplica.handle(message)),
+      { network, clock, from, to: host.machine, timeoutMs },
+      (answer) => answer(host.claimReplica.handle(message)),
       onReply,
     );
   }
--- a/lab/simulator/sim-exchange.ts
+++ b/lab/simulator/sim-exchange.ts
@@ -1,10 +1,10 @@
-/** A question and its answer over the simulated network, with a time-out at the asking process. */
+/** A request and its response over the simulated network, with a timeout at the sender. */
 import type { Clock } from '../../src/common/clock.js';
 import { MachineClock } from './machine-clock.js';
 import type { SimMachine, SimNetwork } from './sim-network.js';
 
-/** Between whom, and for how long. */
-export interface ExchangeLink {
+/** The sender, the receiver and the timeout of an exchange. */
+export interface ExchangeOptions {
   readonly clock: Clock;
   readonly network: SimNetwork;
   readonly from: SimMachine;
@@ -13,17 +13,17 @@
 }
 
 /**
- * Asks once.
- * @param ask runs at the receiver and answers at most once
- * @param done hears the answer, or undefined when none came in time or the receiver's process is gone;
- *   nothing when the asking process itself has ended meanwhile
+ * Sends one request and waits for the response.
+ * @param handleRequest runs at the receiver and calls its callback at most once
+ * @param done called with the response, or with undefined after the timeout or when the receiver's process
+ *   has ended; not called when the sender's process has ended in the meantime
  */
 export function exchange<Answer>(
-  link: ExchangeLink,
-  ask: (answer: (answer: Answer) => void) => void,
+  options: ExchangeOptions,
+  handleRequest: (answer: (answer: Answer) => void) => void,
   done: (answer: Answer | undefined) => void,
 ): void {
-  const { network, from, to } = link;
+  const { network, from, to } = options;
   const { incarnation } = from;
   let settled = false;
   const settle = (answer: Answer | undefined): void => {
@@ -32,12 +32,12 @@
     timeout.cancel();
     done(answer);
   };
-  const clock = new MachineClock(link.clock, from);
-  const timeout = clock.schedule(link.timeoutMs, () => settle(undefined));
+  const clock = new MachineClock(options.clock, from);
+  const timeout = clock.schedule(options.timeoutMs, () => settle(undefined));
   network.send(
     from,
     to,
-    () => ask((answer) => network.send(to, from, () => settle(answer))),
+    () => handleRequest((answer) => network.send(to, from, () => settle(answer))),
     () => settle(undefined),
   );
 }
--- a/lab/simulator/sim-target.ts
+++ b/lab/simulator/sim-target.ts
@@ -1,6 +1,6 @@
 /**
- * One simulated target with its node: the product's decision modules, unchanged, around the stand-in back end. Owns
- * what a restart of the node loses.
+ * One simulated target with its node: the product's own admission, routing and claim modules around a
+ * back-end model.
  */
 import { OverloadThrottle } from '../../src/admission/overload-throttle.js';
 import { AdmissionController } from '../../src/admission/admission-controller.js';
@@ -36,24 +36,24 @@
 import type { SimWorld } from './sim-world.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** As in the node program. */
+/** Same values as in the node program. */
 const LEAVING_LINGER_MS = 3_000;
 const MAX_DRAIN_MS = 10_000;
 const DRAIN_CHECK_MS = 50;
-/** Of a message about claims. */
+/** Timeout of a claim message. */
 const CLAIM_TIMEOUT_MS = 1_000;
 const UNLIMITED = 1_000_000;
 const STATUS_OK = 200;
 
-/** The answer to one call, with what the caller's side needs to know. */
+/** Receives the answer to one call and its outcome. */
 export type AnswerCallback = (answer: NodeAnswer) => void;
 
 export class SimTarget {
   readonly machine: SimMachine;
   readonly backend: BackendModel;
-  leaving = false;
-  /** When the platform decided that the machine leaves. */
-  private leftAt: number | undefined;
+  isLeaving = false;
+  /** When the platform marked the machine as leaving; kept over restarts of the process. */
+  private leavingSince: number | undefined;
   private directory!: ServiceDirectory;
   private admission: AdmissionController;
   private router: OutboundRouter;
@@ -62,7 +62,7 @@
   private readonly inboundByLabId = new Map<string, InboundCall>();
 
   private readonly clock: Clock;
-  private readonly direct: DirectPath;
+  private readonly directPath: DirectPath;
 
   constructor(
     readonly placement: TargetPlacement,
@@ -72,21 +72,20 @@
   ) {
     this.machine = new SimMachine(placement.nodeId, placement.zone);
     this.clock = new MachineClock(world.clock, this.machine);
-    this.direct = new DirectPath(world, random);
+    this.directPath = new DirectPath(world, random);
     this.backend = new BackendModel(this.clock, random, placement.service, (call, labId, done) =>
-      this.callOut(call, labId, done),
+      this.callDownstream(call, labId, done),
     );
     this.admission = this.createAdmission();
     this.router = this.createRouter();
     this.startClaims();
   }
 
-  /** The node as a keeper of claims. */
   get claimReplica(): ClaimReplica {
     return this.replica;
   }
 
-  /** Starts the process again with nothing in memory. */
+  /** Restarts the process; its state in memory is lost. */
   restart(): void {
     this.machine.restart();
     this.backend.reset();
@@ -95,24 +94,24 @@
     this.router = this.createRouter();
     this.replica.stop();
     this.startClaims();
-    this.learnFromList();
+    this.restoreLeavingState();
     this.world.refreshDirectory(this.directory);
     const view = this.world.claimViewOf(this.placement.service.name);
     if (view !== undefined) this.replica.setView(view);
   }
 
-  /** The platform has the machine leave; the node is told at once, the list later. */
+  /** Marks the node as leaving at once and schedules its planned stop. */
   leave(): void {
-    this.leftAt = this.world.clock.now();
-    this.leaving = true;
+    this.leavingSince = this.world.clock.now();
+    this.isLeaving = true;
     this.clock.schedule(LEAVING_LINGER_MS, () => this.endWhenIdle(MAX_DRAIN_MS));
   }
 
-  /** The planned stop ends the process once nothing is in flight, or after the longest drain. */
-  private endWhenIdle(patienceMs: number): void {
-    if (!this.leaving) return;
-    if (this.inboundByLabId.size > 0 && patienceMs > 0) {
-      this.clock.schedule(DRAIN_CHECK_MS, () => this.endWhenIdle(patienceMs - DRAIN_CHECK_MS));
+  /** Ends the process once no call is in flight, or when the drain time is over. */
+  private endWhenIdle(remainingMs: number): void {
+    if (!this.isLeaving) return;
+    if (this.inboundByLabId.size > 0 && remainingMs > 0) {
+      this.clock.schedule(DRAIN_CHECK_MS, () => this.endWhenIdle(remainingMs - DRAIN_CHECK_MS));
       return;
     }
     this.world.kill(this.machine);
@@ -120,18 +119,18 @@
     this.world.announceEndpoints();
   }
 
-  /** A process that has just started has forgotten that it was told to leave: the list says so. */
-  private learnFromList(): void {
-    this.leaving = false;
-    if (this.leftAt === undefined) return;
-    const knownInMs = this.leftAt + this.world.listDelayMs - this.world.clock.now();
+  /** Restores the leaving state after a restart, with the delay of the platform's list. */
+  private restoreLeavingState(): void {
+    this.isLeaving = false;
+    if (this.leavingSince === undefined) return;
+    const knownInMs = this.leavingSince + this.world.listDelayMs - this.world.clock.now();
     this.clock.schedule(knownInMs, () => {
-      this.leaving = true;
+      this.isLeaving = true;
       this.world.announceEndpoints();
     });
   }
 
-  /** A call arrives at the node. */
+  /** Handles an inbound call at the node. */
   handle(request: SimRequest, context: CallContext, answer: AnswerCallback): Cancellable {
     const { service } = this.placement;
     const table = this.world.table;
@@ -147,7 +146,7 @@
       {
         clock: this.clock,
         admission: this.admission,
-        isLeaving: () => this.leaving && this.mechanisms.leaving,
+        isLeaving: () => this.isLeaving && this.mechanisms.leaving,
         claims: this.claims,
       },
       new SimTargetTransport(this, request, context, (status, bytes) =>
@@ -160,7 +159,7 @@
     call.start();
     return {
       cancel: () => {
-        this.forget(request, call);
+        this.removeInbound(request, call);
         call.cancel();
       },
     };
@@ -172,7 +171,7 @@
     result: InboundResult,
     answer: AnswerCallback,
   ): void {
-    this.forget(request, call);
+    this.removeInbound(request, call);
     if (result.type !== 'refused') return;
     const { refusal } = result;
     answer({
@@ -182,18 +181,18 @@
     });
   }
 
-  private forget(request: SimRequest, call: InboundCall): void {
+  private removeInbound(request: SimRequest, call: InboundCall): void {
     if (this.inboundByLabId.get(request.labId) === call) this.inboundByLabId.delete(request.labId);
   }
 
-  /** The back end calls another service through its node. */
-  private callOut(
+  /** Sends a nested call of the back end to another service through this node. */
+  private callDownstream(
     call: NestedCallModel,
     labId: string,
     done: (status: number) => void,
   ): Cancellable {
     if (!this.mechanisms.shoredoor) {
-      return this.direct.fromTarget(this.machine, call, labId, done);
+      return this.directPath.sendFromTarget(this.machine, call, labId, done);
     }
     const root = labId.slice(0, labId.lastIndexOf('/'));
     const passes = this.placement.service.passesContext;
@@ -308,7 +307,7 @@
   }
 }
 
-/** Hands a call to the back end on the same machine. */
+/** Sends admitted calls to the back end on the same machine. */
 class SimTargetTransport implements TargetTransport {
   private readonly incarnation: number;
 
@@ -325,8 +324,8 @@
     let cancelled = false;
     const { labId, method, path } = this.request;
     const { machine, backend } = this.target;
-    // The process that admitted this call has ended meanwhile: nothing of it may run.
-    if (!machine.alive || machine.incarnation !== this.incarnation) {
+    // The process that admitted this call has ended in the meantime, so the call must not run.
+    if (!machine.isAlive || machine.incarnation !== this.incarnation) {
       return { written: false, cancel: () => undefined };
     }
     const call: BackendCall | undefined = backend.accept(
--- a/lab/simulator/sim-transport.ts
+++ b/lab/simulator/sim-transport.ts
@@ -1,4 +1,4 @@
-/** Sends attempts over the simulated network, with the semantics of pooled TCP connections. */
+/** Sends attempts over the simulated network; failures behave as with pooled TCP connections. */
 import type { CallContext } from '../../src/call/call-context.js';
 import type { Outcome } from '../../src/call/outcome.js';
 import type {
@@ -13,7 +13,7 @@
 import type { SimWorld } from './sim-world.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** A request as it travels through the simulator. */
+/** A simulated request. */
 export interface SimRequest {
   readonly labId: string;
   readonly method: string;
@@ -21,7 +21,7 @@
   readonly idempotencyKey: string | undefined;
 }
 
-/** The answer of a node. */
+/** A node's answer to an inbound call. */
 export interface NodeAnswer {
   readonly status: number;
   readonly bytes: number;
@@ -33,7 +33,7 @@
 export class SimOutboundTransport implements OutboundTransport {
   readonly replayable = true;
 
-  /** @param onRelayed hears the status of an answer that is passed on */
+  /** @param onRelayed called with the status of an answer that is relayed to the caller */
   constructor(
     private readonly world: SimWorld,
     private readonly from: SimMachine,
@@ -55,7 +55,7 @@
 
 class SimAttempt implements Attempt {
   private wasWritten = false;
-  private over = false;
+  private isDone = false;
   private inbound: Cancellable | undefined;
   private target: SimTarget | undefined;
 
@@ -77,7 +77,7 @@
       this.startIntoCut(target);
       return;
     }
-    this.wasWritten = target.machine.alive;
+    this.wasWritten = target.machine.isAlive;
     const remainingMs = context.deadlineAt - clock.now();
     network.send(
       this.from,
@@ -89,51 +89,53 @@
   }
 
   cancel(): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isDone) return;
+    this.isDone = true;
     const { target } = this;
     if (target === undefined) return;
     this.world.network.send(this.from, target.machine, () => this.inbound?.cancel());
   }
 
-  /** On an open connection the request vanishes; a new connection cannot be opened. */
+  /** Over an open connection the request is lost without an error; opening a new connection times out. */
   private startIntoCut(target: SimTarget): void {
     if (this.world.connections.has(`${this.from.id}>${target.machine.id}`)) {
       this.wasWritten = true;
       return;
     }
-    this.world.clock.schedule(CONNECT_TIMEOUT_MS, () => this.from.run(() => this.fail(false)));
+    this.world.clock.schedule(CONNECT_TIMEOUT_MS, () =>
+      this.from.runOrDefer(() => this.fail(false)),
+    );
   }
 
   private arrive(target: SimTarget, context: CallContext, request: SimRequest): void {
     const { incarnation } = target.machine;
     this.world.onProcessEnd(target.machine, this, () => this.failAfterReset(target));
     this.inbound = target.handle(request, context, (answer) => {
-      this.world.forgetProcessEnd(target.machine, this);
+      this.world.removeProcessEndListener(target.machine, this);
       if (target.machine.incarnation !== incarnation) return;
-      target.machine.run(() =>
+      target.machine.runOrDefer(() =>
         this.world.network.send(target.machine, this.from, () => this.receive(answer)),
       );
     });
   }
 
-  /** The node's process ended: its connections are reset. */
+  /** The node's process has ended: its connections are reset. */
   private failAfterReset(target: SimTarget): void {
     this.world.network.send(target.machine, this.from, () => this.fail(true));
   }
 
   private receive(answer: NodeAnswer): void {
-    if (this.over) return;
+    if (this.isDone) return;
     const decision = this.listener.onHead({ status: answer.status, outcome: answer.outcome });
-    this.over = true;
+    this.isDone = true;
     if (decision === 'discard') return;
     this.listener.onEnd();
     this.onRelayed(answer.status);
   }
 
   private fail(written: boolean): void {
-    if (this.over) return;
-    this.over = true;
+    if (this.isDone) return;
+    this.isDone = true;
     const isKnown = this.world.mechanisms.writtenKnown;
     this.listener.onFailure({ reason: written ? 'reset' : 'connect', written: written && isKnown });
   }
--- a/lab/simulator/sim-world.ts
+++ b/lab/simulator/sim-world.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment of edges and nodes in virtual time: machines, network, targets, and a stand-in for control that
- * plans claim views and passes the endpoint list on late. One seed gives one run.
+ * A simulated deployment of edges and nodes in virtual time. A simplified control plans claim views and
+ * distributes the endpoint list with a delay. The same seed always gives the same run.
  */
 import type { CallContext } from '../../src/call/call-context.js';
 import { SeededRandom } from '../../src/common/random.js';
@@ -26,18 +26,17 @@
 import { SimTarget } from './sim-target.js';
 import type { Cancellable } from '../model/cancellable.js';
 
-/** What a world is made of. */
 export interface SimWorldOptions {
   readonly deployment: Deployment;
   readonly resources: readonly Resource[];
   readonly seed: number;
   readonly edges: number;
   readonly mechanisms: Mechanisms;
-  /** Time until a change of the endpoint list has reached every machine. */
+  /** Time until a change of the endpoint list reaches every machine. */
   readonly listDelayMs: number;
 }
 
-/** How often the stand-in for control looks at the nodes that keep claims. */
+/** How often the claim views are planned. */
 const CLAIM_VIEW_INTERVAL_MS = 1_000;
 const UNATTRIBUTED_GROUP = 'unattributed';
 const DEFAULT_DEADLINE_MS = 2_000;
@@ -53,11 +52,11 @@
   table: PolicyTable;
   private readonly targetsById: Map<string, SimTarget>;
   private readonly directories = new Set<ServiceDirectory>();
-  private readonly processEnds = new Map<SimMachine, Map<object, () => void>>();
+  private readonly processEndListeners = new Map<SimMachine, Map<object, () => void>>();
   private records: EndpointRecord[] = [];
   private readonly claimViews = new Map<string, ClaimView>();
   /** When each node was last seen alive. */
-  private readonly aliveAt = new Map<string, number>();
+  private readonly lastAliveAt = new Map<string, number>();
 
   constructor(private readonly options: SimWorldOptions) {
     const { deployment, seed, mechanisms } = options;
@@ -84,16 +83,15 @@
     return this.targetsById.get(nodeId)!;
   }
 
-  claimKeeper(nodeId: string): SimTarget {
+  claimReplicaHost(nodeId: string): SimTarget {
     return this.target(nodeId);
   }
 
-  /** The targets of a service. */
   targetsOf(service: string): SimTarget[] {
     return this.targets.filter((target) => target.placement.service.name === service);
   }
 
-  /** A directory for the process on `machine`; it follows the endpoint list. */
+  /** Creates a directory for the process on `machine` and keeps it up to date with the endpoint list. */
   createDirectory(machine: SimMachine): ServiceDirectory {
     const directory = new ServiceDirectory({
       clock: this.clock,
@@ -111,32 +109,32 @@
     return this.options.mechanisms;
   }
 
-  /** Time until a change of the platform's list is known. */
+  /** Time until a change of the platform's list is known, in milliseconds. */
   get listDelayMs(): number {
     return this.options.listDelayMs;
   }
 
-  /** The view of a service's claims that a process which has just started is told. */
+  /** The current claim view of a service, for a process that has just started. */
   claimViewOf(service: string): ClaimView | undefined {
     return this.claimViews.get(service);
   }
 
-  /** Gives a directory the present list, as to a process that has just started. */
+  /** Updates a directory to the current endpoint list, as at the start of a process. */
   refreshDirectory(directory: ServiceDirectory): void {
     directory.update(this.records);
   }
 
-  /** One-way latency between callers and the deployment, drawn anew each time. */
+  /** Draws a one-way latency between callers and the deployment. */
   clientLatencyMs(): number {
     return this.network.jitter(this.options.deployment.clientLatencyMs);
   }
 
-  /** The endpoint list has changed: every machine hears of it after the list's delay. */
+  /** Schedules the distribution of a changed endpoint list after the list's delay. */
   announceEndpoints(): void {
     this.clock.schedule(this.options.listDelayMs, () => this.publishEndpoints());
   }
 
-  /** Sends the attempts of callers to edges in turn, over the callers' own latency. */
+  /** Returns a function that sends callers' attempts to the edges in turn, over the client latency. */
   attemptSender(): AttemptSender {
     let turn = 0;
     const groupByKey = new Map(this.table.groupNames().map((name) => [apiKeyOf(name), name]));
@@ -150,25 +148,25 @@
     };
   }
 
-  /** Registers what to do when the process on `machine` ends. */
+  /** Registers a callback for the end of the process on `machine`; one per owner. */
   onProcessEnd(machine: SimMachine, owner: object, callback: () => void): void {
-    let callbacks = this.processEnds.get(machine);
+    let callbacks = this.processEndListeners.get(machine);
     if (callbacks === undefined) {
       callbacks = new Map();
-      this.processEnds.set(machine, callbacks);
+      this.processEndListeners.set(machine, callbacks);
     }
     callbacks.set(owner, callback);
   }
 
-  forgetProcessEnd(machine: SimMachine, owner: object): void {
-    this.processEnds.get(machine)?.delete(owner);
+  removeProcessEndListener(machine: SimMachine, owner: object): void {
+    this.processEndListeners.get(machine)?.delete(owner);
   }
 
-  /** Ends the process on a machine at once. */
+  /** Ends the process on a machine immediately and closes its connections. */
   kill(machine: SimMachine): void {
     machine.kill();
-    const callbacks = this.processEnds.get(machine);
-    this.processEnds.delete(machine);
+    const callbacks = this.processEndListeners.get(machine);
+    this.processEndListeners.delete(machine);
     for (const callback of callbacks?.values() ?? []) callback();
     for (const pair of this.connections) {
       if (pair.endsWith(`>${machine.id}`) || pair.startsWith(`${machine.id}>`)) {
@@ -177,7 +175,7 @@
     }
   }
 
-  /** The context of a nested call that cannot be tied to an inbound call. */
+  /** The context of a nested call that cannot be attributed to an inbound call. */
   unattributedContext(call: NestedCallModel): CallContext {
     const kind = this.table.matchKind(call.method, call.path);
     return {
@@ -195,10 +193,10 @@
     attempt: CallerAttempt,
     done: (answer: AttemptAnswer) => void,
   ): Cancellable {
-    let over = false;
+    let isDone = false;
     const finish = (answer: AttemptAnswer): void => {
-      if (over) return;
-      over = true;
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       done(answer);
     };
@@ -206,10 +204,10 @@
       handle.cancel();
       finish({ status: 0, verdict: undefined, retryAfterSeconds: 0, check: undefined });
     });
-    const handle = direct.fromCaller(attempt, finish);
+    const handle = direct.sendFromCaller(attempt, finish);
     return {
       cancel: () => {
-        over = true;
+        isDone = true;
         timer.cancel();
         handle.cancel();
       },
@@ -222,26 +220,26 @@
     group: string,
     done: (answer: AttemptAnswer) => void,
   ): Cancellable {
-    let over = false;
+    let isDone = false;
     let atEdge: Cancellable | undefined;
     const finish = (answer: AttemptAnswer): void => {
-      if (over) return;
-      over = true;
+      if (isDone) return;
+      isDone = true;
       timer.cancel();
       done(answer);
     };
     const cancel = (): void => {
-      over = true;
+      isDone = true;
       timer.cancel();
       this.clock.schedule(this.clientLatencyMs(), () => atEdge?.cancel());
     };
     const timer = this.clock.schedule(attempt.timeoutMs, () => {
-      if (over) return;
+      if (isDone) return;
       cancel();
       done({ status: 0, verdict: undefined, retryAfterSeconds: 0, check: undefined });
     });
     this.clock.schedule(this.clientLatencyMs(), () => {
-      if (over) return;
+      if (isDone) return;
       atEdge = edge.handle(attempt, group, (answer) => {
         this.clock.schedule(this.clientLatencyMs(), () => finish(answer));
       });
@@ -249,7 +247,7 @@
     return { cancel };
   }
 
-  /** Stands for control: plans views and lets every live node know after the list's delay. */
+  /** Plans claim views, as control does, and sends them to every live node after the list's delay. */
   private planClaimViews(): void {
     for (const { name } of this.options.deployment.services) this.planClaimView(name);
     this.clock.schedule(CLAIM_VIEW_INTERVAL_MS, () => this.planClaimViews());
@@ -258,41 +256,41 @@
   private planClaimView(service: string): void {
     const now = this.clock.now();
     const live = this.targetsOf(service).filter(
-      ({ machine }) => machine.alive && !machine.isFrozen,
+      ({ machine }) => machine.isAlive && !machine.isFrozen,
     );
-    for (const { machine } of live) this.aliveAt.set(machine.id, now);
+    for (const { machine } of live) this.lastAliveAt.set(machine.id, now);
     const next = nextClaimView({
       service,
       current: this.claimViews.get(service),
-      candidates: live.map(({ machine, claimReplica, leaving }) => ({
+      candidates: live.map(({ machine, claimReplica, isLeaving }) => ({
         id: machine.id,
         zone: machine.zone,
         incarnation: machine.incarnation,
-        isLeaving: leaving,
+        isLeaving,
         settledEpoch: claimReplica.settledEpoch,
       })),
-      silentForMs: (id) => now - (this.aliveAt.get(id) ?? 0),
+      silentForMs: (id) => now - (this.lastAliveAt.get(id) ?? 0),
     });
     if (next === undefined) return;
     this.claimViews.set(service, next);
     const delayMs = now === 0 ? 0 : this.options.listDelayMs;
     this.clock.schedule(delayMs, () => {
       for (const target of this.targetsOf(service)) {
-        target.machine.run(() => target.claimReplica.setView(next));
+        target.machine.runOrDefer(() => target.claimReplica.setView(next));
       }
     });
   }
 
   private publishEndpoints(): void {
     this.records = this.targets
-      .filter((target) => target.machine.alive)
+      .filter((target) => target.machine.isAlive)
       .map((target) => ({
         id: target.placement.nodeId,
         incarnation: target.machine.incarnation,
         service: target.placement.service.name,
         zone: target.placement.zone,
         origin: `http://${target.placement.nodeId}`,
-        state: target.leaving ? 'leaving' : 'ready',
+        state: target.isLeaving ? 'leaving' : 'ready',
       }));
     for (const directory of this.directories) directory.update(this.records);
   }
