--- a/src/programs/sidecar-stop.ts
+++ b/src/programs/sidecar-stop.ts
@@ -11,24 +11,24 @@
  * Without `stop.graceMs`, draining takes `stop.drainMs` and finishing at most `stop.timeoutMs`.
  */
 import type { AdmissionController } from '../admission/admission-controller.js';
-import { allIdle, type CallStats } from '../call/call-stats.js';
+import { waitUntilAllIdle, type CallStats } from '../call/call-stats.js';
 import type { GateServer } from '../gate/gate-server.js';
 import type { IngressServer } from '../ingress/ingress-server.js';
-import type { RequestJournal } from '../call/request-journal.js';
+import type { RequestLog } from '../call/request-log.js';
 import {
   StopPhase,
   stopTimes,
-  type DeclaredStop,
+  type StopSettings,
   type StopProgress,
   type StopTimes,
 } from '../call/stop-phase.js';
 import type { Follower } from '../follower/follower.js';
-import type { InstancePool } from '../membership/instance-pool.js';
+import type { TargetConnectionPool } from '../membership/target-connection-pool.js';
 import type { ListeningServer } from '../http/listening-server.js';
 import type { LinkPool } from '../link/link-pool.js';
 import type { LinkServer } from '../link/link-server.js';
 import type { Logger } from '../common/logger.js';
-import { delay, within } from './program.js';
+import { delay, finishesWithin } from './program.js';
 
 /** Maximum time to wait for control to confirm the announcement, in milliseconds. */
 const ANNOUNCEMENT_TIMEOUT_MS = 300;
@@ -39,13 +39,13 @@
 export interface StoppingParts {
   readonly stopProgress: StopProgress;
   readonly logger: Logger;
-  readonly journal: RequestJournal;
+  readonly journal: RequestLog;
   readonly follower: Follower;
   readonly admission: AdmissionController;
   readonly inboundStats: CallStats;
   readonly outboundStats: CallStats;
   readonly links: LinkPool;
-  readonly instancePool: InstancePool;
+  readonly instancePool: TargetConnectionPool;
 }
 
 /** The servers that the stop closes. */
@@ -65,7 +65,7 @@
   ) {}
 
   /** Resolves once every connection is closed. */
-  async run(declared: DeclaredStop): Promise<void> {
+  async run(declared: StopSettings): Promise<void> {
     // Connections are closed last: closing them while calls are in flight would lose responses.
     await this.drain(stopTimes(declared));
     const hasFinished = await this.finish();
@@ -90,15 +90,15 @@
     stopProgress.phase = StopPhase.Finishing;
     logger.info('Stopping; waiting for calls in flight.', this.inFlight());
     admission.refuseWaiting();
-    const announced = within(follower.announceLeaving(), ANNOUNCEMENT_TIMEOUT_MS);
-    return within(this.untilIdle(announced), stopProgress.timeLeftMs);
+    const announced = finishesWithin(follower.announceLeaving(), ANNOUNCEMENT_TIMEOUT_MS);
+    return finishesWithin(this.untilIdle(announced), stopProgress.timeLeftMs);
   }
 
   /** Waits for the announcement to control, then until no call is in flight. */
   private async untilIdle(announced: Promise<boolean>): Promise<void> {
     const { inboundStats, outboundStats } = this.parts;
     await announced;
-    await allIdle([inboundStats, outboundStats]);
+    await waitUntilAllIdle([inboundStats, outboundStats]);
   }
 
   /** Answers the remaining calls with an accurate verdict, then closes connections. */
@@ -112,7 +112,7 @@
     const { logger, journal } = this.parts;
     const { ingress, gate } = this.servers;
     logger.warn('Calls were still in flight at the end of the stop.', this.inFlight());
-    journal.onCutByStop(ingress.recordsUnderWay());
+    journal.onAbortedByStop(ingress.getInFlightRecords());
     ingress.endWithProcess();
     gate.endWithProcess();
   }
@@ -124,7 +124,7 @@
     follower.stop();
     links.finish();
     const closed = Promise.all([inbound.finish(), outbound.close()]);
-    await within(
+    await finishesWithin(
       closed.then(() => undefined),
       CLOSE_TIMEOUT_MS,
     );
--- a/src/programs/sidecar-target.ts
+++ b/src/programs/sidecar-target.ts
@@ -6,13 +6,13 @@
 import type { Follower } from '../follower/follower.js';
 import type { TargetHeaders } from '../http/target-headers.js';
 import { incarnationName, isSameIncarnation, type Incarnation } from '../membership/incarnation.js';
-import type { InstancePool } from '../membership/instance-pool.js';
+import type { TargetConnectionPool } from '../membership/target-connection-pool.js';
 import type { TargetLease, TargetReport } from '../membership/target-lease.js';
 import { probeTarget } from '../membership/target-probe.js';
 import type { CrashGuard } from '../quarantine/crash-guard.js';
 import type { ServiceRetryBudget } from '../retry/service-retry-budget.js';
 import type { SidecarSettings } from '../settings/sidecar-settings.js';
-import { tableOf } from './following-process.js';
+import { tableOf } from './follower-setup.js';
 
 /** The parts of a sidecar that depend on its target. */
 export interface TargetDependencies {
@@ -22,7 +22,7 @@
   readonly follower: Follower;
   readonly limiter: SlotLimiter;
   readonly admission: AdmissionController;
-  readonly instancePool: InstancePool;
+  readonly instancePool: TargetConnectionPool;
   readonly crashGuard: CrashGuard;
   readonly retryBudget: ServiceRetryBudget;
   readonly stopProgress: StopProgress;
--- a/src/quarantine/crash-evidence.ts
+++ b/src/quarantine/crash-evidence.ts
@@ -9,7 +9,7 @@
  */
 import type { Clock } from '../common/clock.js';
 import { hasCaller, withoutCaller } from './request-fingerprint.js';
-import type { CrashNews, CrashReport, CrashSuspect, SuspectList } from './crash-report.js';
+import type { CrashUpdate, CrashReport, CrashSuspect, SuspectList } from './crash-report.js';
 
 /**
  * Number of crashes under a request after which it is blamed. With fewer, a request that was in flight by chance could be
@@ -66,7 +66,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Applies the report of a sidecar. @returns whether the list of suspects may have changed */
-  onNews({ crashes, acquitted }: CrashNews): boolean {
+  applyUpdate({ crashes, acquitted }: CrashUpdate): boolean {
     const before = this.version;
     for (const report of crashes) this.add(report);
     for (const fingerprint of acquitted) this.acquit(fingerprint);
@@ -92,12 +92,12 @@
   }
 
   /** Returns the number of crashes in which the request was in flight, except those attributed to another request. */
-  crashesUnder(fingerprint: string): number {
+  crashCount(fingerprint: string): number {
     return this.suspicions().get(fingerprint)?.crashes.length ?? 0;
   }
 
   /** Replaces the known quarantines. The crashes under a request that is no longer among them are discarded. */
-  adopt(quarantines: readonly KnownQuarantine[]): void {
+  setQuarantines(quarantines: readonly KnownQuarantine[]): void {
     const before = [...this.inForce, ...this.probation.keys()];
     const now = this.clock.now();
     const namesOf = (inForce: boolean): Set<string> =>
@@ -115,7 +115,7 @@
   }
 
   /** Whether a request on probation was in flight in a crash, and no gate has reported that it succeeded. */
-  blamesOnProbation(fingerprint: string): boolean {
+  shouldRenew(fingerprint: string): boolean {
     if (!this.probation.has(fingerprint)) return false;
     const { crashes = [] } = this.suspicions().get(fingerprint) ?? {};
     const [first] = this.sinceProbation(fingerprint, crashes);
@@ -132,7 +132,7 @@
   }
 
   /** Returns the requests to put in quarantine now, those with the most crashes first. */
-  blamed(): string[] {
+  requestsToQuarantine(): string[] {
     if (this.crashes.size < CRASHES_TO_BLAME) return [];
     const suspicions = [...this.suspicions()]
       .filter(([, { crashes }]) => crashes.length >= CRASHES_TO_BLAME)
--- a/src/quarantine/crash-guard.ts
+++ b/src/quarantine/crash-guard.ts
@@ -8,8 +8,13 @@
 import type { Logger } from '../common/logger.js';
 import type { PolicyTable } from '../policy/policy-table.js';
 import { CrashWatch, type WatchedRun } from './crash-watch.js';
-import { NO_SUSPECTS, type CrashNews, type CrashReport, type SuspectList } from './crash-report.js';
-import { RecentAnswers } from './good-ends.js';
+import {
+  NO_SUSPECTS,
+  type CrashUpdate,
+  type CrashReport,
+  type SuspectList,
+} from './crash-report.js';
+import { RecentAnswers } from './recent-answers.js';
 import { withoutCaller } from './request-fingerprint.js';
 
 export interface CrashGuardOptions {
@@ -20,9 +25,9 @@
   /** Returns the policy table in force, which contains the quarantines. */
   readonly table: () => PolicyTable;
   /** Called when a target has crashed, with the name of its incarnation. */
-  readonly onDown: (incarnation: string) => void;
+  readonly onTargetCrash: (incarnation: string) => void;
   /** Called when there is something to report to control at once. */
-  readonly onNews: () => void;
+  readonly onUpdate: () => void;
 }
 
 /** How long a crash is reported, in milliseconds. Covers lost heartbeats and restarts of control replicas. */
@@ -76,7 +81,7 @@
   isQuarantined(fingerprint: string): boolean {
     const table = this.options.table();
     if (table.quarantineCount === 0) return false;
-    const isInForce = (name: string): boolean => table.quarantine(name)?.inForce === true;
+    const isInForce = (name: string): boolean => table.getQuarantine(name)?.inForce === true;
     return isInForce(fingerprint) || isInForce(withoutCaller(fingerprint));
   }
 
@@ -88,7 +93,7 @@
     const request = withoutCaller(fingerprint);
     if (this.suspected.has(fingerprint) || this.suspected.has(request)) return true;
     const table = this.options.table();
-    const isKnown = [fingerprint, request].some((name) => table.quarantine(name) !== undefined);
+    const isKnown = [fingerprint, request].some((name) => table.getQuarantine(name) !== undefined);
     if (isKnown) return true;
     return underWay <= MAX_LIKELY_CAUSES && !this.recentAnswers.within(fingerprint, ANSWER_AGE_MS);
   }
@@ -99,11 +104,11 @@
     this.suspectsAt = this.options.clock.now();
     this.suspected.clear();
     for (const { fingerprint } of list.suspects) this.suspected.add(fingerprint);
-    if (this.acquitted().length > 0) this.options.onNews();
+    if (this.acquitted().length > 0) this.options.onUpdate();
   }
 
   /** Returns what to report to control; undefined if there is nothing. */
-  news(): CrashNews | undefined {
+  pendingUpdate(): CrashUpdate | undefined {
     const since = this.options.clock.now() - REPORT_MS;
     this.reported = this.reported.filter(({ at }) => at >= since);
     const crashes = this.reported.map(({ report }) => report);
@@ -127,11 +132,11 @@
       // Only the first success is announced: the next list no longer contains the request.
       if (this.suspected.delete(name)) isNews = true;
     }
-    if (isNews) this.options.onNews();
+    if (isNews) this.options.onUpdate();
   }
 
   private onCrash(report: CrashReport): void {
-    const { clock, logger, onDown } = this.options;
+    const { clock, logger, onTargetCrash: onDown } = this.options;
     const { instance, fingerprints } = report;
     this.crashCount += 1;
     const named = fingerprints.slice(0, MAX_LOGGED);
--- a/src/quarantine/crash-report.ts
+++ b/src/quarantine/crash-report.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a sidecar reports about crashes with a heartbeat. */
-export interface CrashNews {
+export interface CrashUpdate {
   readonly crashes: readonly CrashReport[];
   /** Fingerprints of suspects that succeeded at the sidecar's target, and therefore are not the cause. */
   readonly acquitted: readonly string[];
--- a/src/quota/group-quota.ts
+++ b/src/quota/group-quota.ts
@@ -3,7 +3,7 @@
  * granted. Requests above it are refused as `rate-limited`.
  */
 import { rateLimitedSeconds } from '../call/retry-after.js';
-import { SlidingCount } from '../common/sliding-count.js';
+import { SlidingWindowCounter } from '../common/sliding-window-counter.js';
 import type { GroupUse } from './quota-messages.js';
 
 /** Permission to run one request within the quota of its group. */
@@ -33,14 +33,14 @@
   /** Monotonic milliseconds. */
   private validUntil = -Infinity;
   /** Requests that have run or may have run. */
-  private readonly used: SlidingCount;
+  private readonly used: SlidingWindowCounter;
   /** All requests, including refused ones. */
-  private readonly offered: SlidingCount;
+  private readonly offered: SlidingWindowCounter;
 
   /** @param windowMs length of the window in milliseconds */
   constructor(windowMs: number) {
-    this.used = new SlidingCount(windowMs * (1 + WINDOW_MARGIN));
-    this.offered = new SlidingCount(windowMs * (1 + WINDOW_MARGIN));
+    this.used = new SlidingWindowCounter(windowMs * (1 + WINDOW_MARGIN));
+    this.offered = new SlidingWindowCounter(windowMs * (1 + WINDOW_MARGIN));
   }
 
   /**
--- a/src/quota/ingress-quota.ts
+++ b/src/quota/ingress-quota.ts
@@ -1,11 +1,11 @@
 /**
  * Enforces the quotas of groups at one ingress: limits the requests of each group per window to the grant of the leader of
  * control, which keeps the sum of all grants within the quota of the group. Requests may wait for a larger grant.
- * Reports are sent with each heartbeat and whenever {@link IngressQuotaOptions.onShort} is called.
+ * Reports are sent with each heartbeat and whenever {@link IngressQuotaOptions.onGrantNeeded} is called.
  */
 import type { Clock, Timer } from '../common/clock.js';
 import type { Group } from '../policy/group-table.js';
-import { GrantRequestBackoff, GrantRequestBatcher } from './asking-schedule.js';
+import { GrantRequestBackoff, GrantRequestBatcher } from './grant-request-schedule.js';
 import { GroupQuota, NOTHING_GRANTED, type QuotaPermit, type QuotaState } from './group-quota.js';
 import {
   QUOTA_LEASE_MS,
@@ -24,11 +24,11 @@
   /** Length of the quota window, in milliseconds. */
   readonly windowMs: number;
   /** Called when demand exceeds a grant, to send a report to control now. */
-  readonly onShort: () => void;
+  readonly onGrantNeeded: () => void;
 }
 
 /** Receives the permit of a request, or undefined if the request may not run. */
-export type PermitListener = (permit: QuotaPermit | undefined) => void;
+export type PermitCallback = (permit: QuotaPermit | undefined) => void;
 
 /** Number of groups above which idle ones are evicted, to bound memory. */
 const MAX_IDLE_GROUPS = 1_000;
@@ -36,7 +36,7 @@
 /** A request that waits for a permit. */
 interface Waiter {
   readonly timer: Timer;
-  readonly listener: PermitListener;
+  readonly listener: PermitCallback;
 }
 
 /** One group at this ingress. */
@@ -65,7 +65,7 @@
   private readonly now: () => number;
 
   constructor(private readonly options: IngressQuotaOptions) {
-    const { clock, onShort: sendReport } = options;
+    const { clock, onGrantNeeded: sendReport } = options;
     this.now = () => clock.now();
     this.createdAt = clock.now();
     this.requestBatcher = new GrantRequestBatcher(clock, sendReport);
@@ -75,7 +75,7 @@
    * Acquires a permit for a request. The listener may be called synchronously.
    * @param maxWaitMs how long the request may wait for a larger grant, in milliseconds
    */
-  acquire({ name, rate }: Group, maxWaitMs: number, listener: PermitListener): void {
+  acquire({ name, rate }: Group, maxWaitMs: number, listener: PermitCallback): void {
     if (rate === undefined) {
       listener(UNLIMITED);
       return;
@@ -134,7 +134,7 @@
     return permit;
   }
 
-  private wait(entry: GroupEntry, maxWaitMs: number, listener: PermitListener): void {
+  private wait(entry: GroupEntry, maxWaitMs: number, listener: PermitCallback): void {
     const timer = this.options.clock.schedule(maxWaitMs, () => {
       entry.waiters = entry.waiters.filter((other) => other !== waiter);
       listener(undefined);
--- a/src/quota/quota-rule.ts
+++ b/src/quota/quota-rule.ts
@@ -31,7 +31,7 @@
 }
 
 /** Requests of a group per window that control grants to all ingresses together. */
-export function handedOutInWindow(rate: GroupRate, rule: QuotaRule): number {
+export function grantableInWindow(rate: GroupRate, rule: QuotaRule): number {
   const { windowMs, tolerance, slack } = rule;
   return boundInWindow(rate, {
     windowMs,
--- a/src/retry/repeat-room.ts
+++ b/src/retry/accepted-repeats.ts
@@ -7,7 +7,7 @@
  */
 
 /** Repeats that the retry budget of a service allows. Gates report this to their callers with each answer. */
-export enum RepeatRoom {
+export enum AcceptedRepeats {
   /** No repeats. */
   None,
   /** Repeated calls to this service, but no further repeated runs upstream, which would make such calls again. */
@@ -82,14 +82,14 @@
   isFromClient: boolean,
   state: GateState,
   bound: RetryBound,
-): RepeatRoom {
+): AcceptedRepeats {
   // A repeated run here would cause repeats downstream, which can't be refused there.
-  if (state.isDownstreamFull) return RepeatRoom.None;
+  if (state.isDownstreamFull) return AcceptedRepeats.None;
   const allowed = allowedRepeats(state, bound);
   const available = isFromClient ? allowed : allowed - reservedForClients(state, allowed);
   const wanted = state.all.repeats + 1;
-  if (wanted > available) return RepeatRoom.None;
-  return wanted > REPEATED_RUNS_FRACTION * available ? RepeatRoom.Calls : RepeatRoom.Runs;
+  if (wanted > available) return AcceptedRepeats.None;
+  return wanted > REPEATED_RUNS_FRACTION * available ? AcceptedRepeats.Calls : AcceptedRepeats.Runs;
 }
 
 /** Repeats that the gate's part of the budget allows in the current window. */
--- a/src/retry/arrival-window.ts
+++ b/src/retry/arrival-window.ts
@@ -1,15 +1,15 @@
 /** Counts first arrivals and repeats at one gate over a sliding time window. The times passed in must not decrease. */
-import { SlidingCount } from '../common/sliding-count.js';
-import type { WindowCounts } from './repeat-room.js';
+import { SlidingWindowCounter } from '../common/sliding-window-counter.js';
+import type { WindowCounts } from './accepted-repeats.js';
 
 export class ArrivalWindow {
-  private readonly firsts: SlidingCount;
-  private readonly repeats: SlidingCount;
+  private readonly firsts: SlidingWindowCounter;
+  private readonly repeats: SlidingWindowCounter;
 
   /** @param windowMs length of the window in milliseconds */
   constructor(windowMs: number) {
-    this.firsts = new SlidingCount(windowMs);
-    this.repeats = new SlidingCount(windowMs);
+    this.firsts = new SlidingWindowCounter(windowMs);
+    this.repeats = new SlidingWindowCounter(windowMs);
   }
 
   /**
--- a/src/retry/repeated-runs.ts
+++ b/src/retry/repeated-runs.ts
@@ -36,7 +36,7 @@
   }
 
   /** Upper bound on the probability that a call made by the target now comes from a repeated run, 0 to 1. */
-  share(): number {
+  estimateRepeatShare(): number {
     let highest = 0;
     for (const { running, repeatShareSum } of this.kinds.values()) {
       highest = Math.max(highest, repeatShareSum / running);
--- a/src/retry/retry-budget.ts
+++ b/src/retry/retry-budget.ts
@@ -10,7 +10,7 @@
 const DEFAULT_CAPACITY = 20;
 
 /** Limit on the retries of a process to one service. */
-export interface RetryCredit {
+export interface RetryLimiter {
   /** Whether one retry can be spent now. */
   readonly hasRetry: boolean;
   /** Counts a first attempt. @param ratio retries allowed per first attempt, 0 to 1 */
@@ -20,7 +20,7 @@
 }
 
 /** No limit, for callers whose callees limit the repeats that they let through. */
-export const CALLEES_DECIDE: RetryCredit = {
+export const UNLIMITED_RETRIES: RetryLimiter = {
   hasRetry: true,
   onFirstAttempt: () => {
     // Counted by the callees.
@@ -30,7 +30,7 @@
   },
 };
 
-export class RetryBudget implements RetryCredit {
+export class RetryBudget implements RetryLimiter {
   private tokens: number;
 
   /** @param capacity maximum number of tokens, and the initial number */
--- a/src/retry/retry-policy.ts
+++ b/src/retry/retry-policy.ts
@@ -59,7 +59,7 @@
 }
 
 /** State of the two limits on retries and hedged requests. */
-export interface RetryFunds {
+export interface RetryLimitState {
   /** Retries left in the allowance of the request. */
   readonly retriesLeft: number;
   /** Whether the budget of this process for the service has a retry left. */
@@ -67,7 +67,7 @@
 }
 
 /** The state of the call that {@link decideNextStep} depends on. */
-export interface CallState extends RetryFunds {
+export interface CallState extends RetryLimitState {
   readonly repeatable: boolean;
   /** Whether the request body can be sent again from the start. */
   readonly replayable: boolean;
@@ -136,7 +136,7 @@
 }
 
 /** The state of the call that {@link decideHedge} depends on, once the hedge delay has passed. */
-export interface HedgeState extends RetryFunds {
+export interface HedgeState extends RetryLimitState {
   /** Whether the gate of the other target accepts repeats, according to its latest report. */
   readonly targetAcceptsRepeats: boolean;
 }
@@ -161,13 +161,13 @@
 
 const REROUTE: NextStep = { type: 'reroute' };
 
-function retryIfAllowed(funds: RetryFunds): NextStep {
+function retryIfAllowed(funds: RetryLimitState): NextStep {
   const exhausted = findExhaustedLimit(funds);
   return exhausted === undefined ? { type: 'retry' } : giveUp(exhausted);
 }
 
 function findExhaustedLimit(
-  funds: RetryFunds,
+  funds: RetryLimitState,
 ): GiveUpReason.NoAllowance | GiveUpReason.NoBudget | undefined {
   if (funds.retriesLeft === 0) return GiveUpReason.NoAllowance;
   return funds.hasBudget ? undefined : GiveUpReason.NoBudget;
--- a/src/retry/service-retry-budget.ts
+++ b/src/retry/service-retry-budget.ts
@@ -12,11 +12,11 @@
   allowedRepeats,
   decideAcceptedRepeats,
   DOWNSTREAM_FULL_FRACTION,
-  RepeatRoom,
+  AcceptedRepeats,
   type GateState,
   type RetryBound,
   type WindowCounts,
-} from './repeat-room.js';
+} from './accepted-repeats.js';
 
 export interface ServiceRetryBudgetOptions extends RetryBound {
   readonly clock: Clock;
@@ -61,28 +61,28 @@
   }
 
   /** Counts a repeat that is about to arrive. @returns false, without counting it, if the budget does not allow it */
-  tryRepeat(source: ArrivalSource): boolean {
-    if (this.room(source) === RepeatRoom.None) return false;
+  tryAcquireRepeat(source: ArrivalSource): boolean {
+    if (this.getAcceptedRepeats(source) === AcceptedRepeats.None) return false;
     this.count(source, 0, 1);
     return true;
   }
 
   /** Removes a repeat that was counted but did not arrive. */
-  giveBack(source: ArrivalSource): void {
+  releaseRepeat(source: ArrivalSource): void {
     this.count(source, 0, -1);
   }
 
   /** Which repeats would be granted now. */
-  room(source: ArrivalSource): RepeatRoom {
+  getAcceptedRepeats(source: ArrivalSource): AcceptedRepeats {
     return decideAcceptedRepeats(source === 'clients', this.state(), this.options);
   }
 
   /** The target called another service, which reported the repeats that it accepts. */
-  onDownstreamCall(acceptedRepeats: RepeatRoom): void {
+  onDownstreamCall(acceptedRepeats: AcceptedRepeats): void {
     const { clock, windowMs } = this.options;
     const now = clock.now();
     this.downstreamCallsUntil = now + windowMs;
-    if (acceptedRepeats !== RepeatRoom.Runs)
+    if (acceptedRepeats !== AcceptedRepeats.Runs)
       this.downstreamFullUntil = now + DOWNSTREAM_FULL_FRACTION * windowMs;
   }
 
--- a/src/routing/balancer.ts
+++ b/src/routing/balancer.ts
@@ -86,8 +86,8 @@
   }
 
   /** Average latency of a traffic class over all endpoints, in milliseconds; undefined before enough answers. */
-  usualLatencyMs(trafficClass: string): number | undefined {
-    return this.baseline.usualLatencyMs(trafficClass);
+  baselineLatencyMs(trafficClass: string): number | undefined {
+    return this.baseline.baselineLatencyMs(trafficClass);
   }
 
   /** Records that an endpoint announced its shutdown. */
--- a/src/routing/endpoint-view.ts
+++ b/src/routing/endpoint-view.ts
@@ -3,7 +3,7 @@
  * failures. Computes the cost by which endpoints are compared.
  */
 import type { LoadReport } from '../call/outcome.js';
-import { RepeatRoom } from '../retry/repeat-room.js';
+import { AcceptedRepeats } from '../retry/accepted-repeats.js';
 import type { EndpointRecord, EndpointResult } from '../call/endpoint.js';
 import { OutlierDetector } from './outlier-detector.js';
 import type { Candidate, CostContext } from './target-choice.js';
@@ -63,7 +63,7 @@
 
   /** Whether the gate accepts repeated calls according to its last report; true without a report. */
   get acceptsRepeats(): boolean {
-    return this.load?.repeatRoom !== RepeatRoom.None;
+    return this.load?.repeatRoom !== AcceptedRepeats.None;
   }
 
   isEjected(now: number): boolean {
--- a/src/routing/latency-baseline.ts
+++ b/src/routing/latency-baseline.ts
@@ -28,7 +28,7 @@
   private readonly usual = new BoundedMap<UsualLatency>(MAX_CLASSES);
 
   /** Average latency of a traffic class in milliseconds; undefined before {@link MIN_ANSWERS} answers. */
-  usualLatencyMs(trafficClass: string): number | undefined {
+  baselineLatencyMs(trafficClass: string): number | undefined {
     const usual = this.usual.get(trafficClass);
     return usual === undefined || usual.answers < MIN_ANSWERS ? undefined : usual.latencyMs;
   }
--- a/src/routing/service-directory.ts
+++ b/src/routing/service-directory.ts
@@ -32,7 +32,7 @@
   }
 
   /** Number of endpoints by service; services without endpoints are missing. */
-  get machines(): ReadonlyMap<string, number> {
+  get endpointCountByService(): ReadonlyMap<string, number> {
     return this.endpointCounts;
   }
 
--- a/src/routing/subset.ts
+++ b/src/routing/subset.ts
@@ -13,7 +13,7 @@
  * Returns the fraction of all callers that have a given endpoint in their subset, 0 to 1.
  * @param endpoints number of endpoints of the service
  */
-export function callingPart(endpoints: number): number {
+export function callerFraction(endpoints: number): number {
   return Math.min(1, SUBSET_SIZE / Math.max(1, endpoints));
 }
 
--- a/src/routing/target-choice.ts
+++ b/src/routing/target-choice.ts
@@ -106,7 +106,7 @@
   let cheapest: T | undefined;
   let leastCost = Infinity;
   for (let drawn = 0; drawn < count && left.length > 0; drawn += 1) {
-    const index = random.below(left.length);
+    const index = random.nextInt(left.length);
     const candidate = left[index]!;
     left[index] = left[left.length - 1]!;
     left.pop();
--- a/src/storage/load-log.ts
+++ b/src/storage/load-log.ts
@@ -4,7 +4,7 @@
  */
 import { decodeMessage } from '../common/message-codec.js';
 import type { HardState, LogEntry, PersistedState, Snapshot } from './persisted-state.js';
-import { entriesAfter, truncateAndAppend, type LogPosition } from './entries-after.js';
+import { entriesAfter, truncateAndAppend, type LogPosition } from './log-entries.js';
 import { scanRecords } from './record-format.js';
 import type { StorageFiles } from './storage-files.js';
 
--- a/src/storage/log-storage.ts
+++ b/src/storage/log-storage.ts
@@ -12,7 +12,7 @@
   Snapshot,
   StorageCallback,
 } from './persisted-state.js';
-import { entriesAfter, LOG_ORIGIN, truncateAndAppend, type LogPosition } from './entries-after.js';
+import { entriesAfter, LOG_ORIGIN, truncateAndAppend, type LogPosition } from './log-entries.js';
 import { encodeRecord } from './record-format.js';
 import { loadLog, LOG_FILE, SNAPSHOT_FILE, type LogRecord } from './load-log.js';
 import type { AppendFile, StorageFiles } from './storage-files.js';
@@ -47,7 +47,7 @@
 }
 
 /** Result of {@link LogStorage.open}: the storage and its contents, or why the files are damaged. */
-export type OpenedLog =
+export type OpenLogResult =
   | { readonly type: 'opened'; readonly storage: LogStorage; readonly persisted: PersistedState }
   | { readonly type: 'damaged'; readonly reason: string };
 
@@ -77,7 +77,7 @@
   }
 
   /** Opens the log of a data folder. The log file must exist; {@link LogStorage.create} creates it. */
-  static open(files: StorageFiles): OpenedLog {
+  static open(files: StorageFiles): OpenLogResult {
     const loaded = loadLog(files);
     if (loaded.type === 'damaged') return loaded;
     const file = files.openAppend(LOG_FILE, loaded.validBytes);
--- a/src/sync/heartbeat.ts
+++ b/src/sync/heartbeat.ts
@@ -2,7 +2,7 @@
  * The heartbeat that each follower (a node, edge or sidecar, not the Raft role) sends to every control replica, and the
  * answer. These types are the wire format.
  */
-import type { CrashNews } from '../quarantine/crash-report.js';
+import type { CrashUpdate } from '../quarantine/crash-report.js';
 import type { QuotaGrants, QuotaReport } from '../quota/quota-messages.js';
 import type { EndpointState } from '../call/endpoint.js';
 import type { EndpointPosition } from './sync-protocol.js';
@@ -24,7 +24,7 @@
   /** Epoch of the service's claim view that the node has completely adopted; 0 for edges. */
   readonly claimEpoch: number;
   /** Crashes of targets; absent if there are none. */
-  readonly crashNews?: CrashNews | undefined;
+  readonly crashNews?: CrashUpdate | undefined;
   /** Usage of groups with a quota; absent if there are none. */
   readonly quota?: QuotaReport | undefined;
 }
--- a/src/sync/sync-codec.ts
+++ b/src/sync/sync-codec.ts
@@ -7,19 +7,19 @@
 import type { SyncResponse } from './sync-protocol.js';
 
 /** The configuration part of a response. */
-export type ConfigurationNews = Pick<SyncResponse, 'revision' | 'resources' | 'changes'>;
+export type ConfigurationUpdate = Pick<SyncResponse, 'revision' | 'resources' | 'changes'>;
 
 /** The endpoint part of a response. */
-export type EndpointNews = Omit<SyncResponse, keyof ConfigurationNews>;
+export type EndpointUpdate = Omit<SyncResponse, keyof ConfigurationUpdate>;
 
-/** An encoded {@link ConfigurationNews}. */
+/** An encoded {@link ConfigurationUpdate}. */
 export interface PackedConfiguration {
   readonly isCompressed: boolean;
   readonly bytes: Uint8Array;
 }
 
 /** The wire format of a {@link SyncResponse}. */
-export interface PackedSync extends EndpointNews {
+export interface PackedSync extends EndpointUpdate {
   readonly configuration: PackedConfiguration;
 }
 
@@ -27,7 +27,7 @@
 const MIN_COMPRESSED_BYTES = 1_400;
 
 /** Encodes the configuration part, compressed if it is large. */
-export function packConfiguration(news: ConfigurationNews): PackedConfiguration {
+export function packConfiguration(news: ConfigurationUpdate): PackedConfiguration {
   const bytes = encodeMessage(news);
   if (bytes.length < MIN_COMPRESSED_BYTES) return { isCompressed: false, bytes };
   return { isCompressed: true, bytes: deflateRawSync(bytes) };
@@ -40,5 +40,5 @@
 export function unpackSync({ configuration, ...endpointNews }: PackedSync): SyncResponse {
   const { isCompressed, bytes } = configuration;
   const plain = isCompressed ? inflateRawSync(bytes) : bytes;
-  return { ...decodeMessage<ConfigurationNews>(plain), ...endpointNews };
+  return { ...decodeMessage<ConfigurationUpdate>(plain), ...endpointNews };
 }
--- a/test/admission/early-refusal.test.ts
+++ b/test/admission/early-refusal.test.ts
@@ -58,8 +58,8 @@
     recordAnswers(failing, 'calling', 20, 500);
     for (const impact of [slowed, failing]) {
       recordAnswers(impact, 'plain', 102);
-      expect(impact.of('calling')).to.equal(1);
-      expect(impact.of('plain')).to.equal(0);
+      expect(impact.impactOn('calling')).to.equal(1);
+      expect(impact.impactOn('plain')).to.equal(0);
     }
   });
 
@@ -69,15 +69,15 @@
     for (let meanMs = 100; meanMs <= 400; meanMs += 50) {
       for (let count = 0; count < 10; count += 1) impact.onAnswer('calling', meanMs, 200);
     }
-    expect(impact.of('plain')).to.equal(0);
-    expect(impact.of('calling')).to.equal(1);
+    expect(impact.impactOn('plain')).to.equal(0);
+    expect(impact.impactOn('calling')).to.equal(1);
   });
 
   it('is taken for full after a few answers', () => {
     const impact = new KindImpact(new VirtualClock());
-    expect(impact.of('new')).to.equal(1);
+    expect(impact.impactOn('new')).to.equal(1);
     impact.onAnswer('new', 100, 200);
-    expect(impact.of('new')).to.equal(1);
+    expect(impact.impactOn('new')).to.equal(1);
   });
 });
 
@@ -90,7 +90,7 @@
     const one = new OverloadThrottle(new SeededRandom(1), { decreaseFactor: 0.8, cooldownMs: 200 });
     for (let refusal = 0; refusal < 50; refusal += 1) many.onRefused('lane', 1_000 + refusal);
     one.onRefused('lane', 1_000);
-    expect(many.pressure('lane', 1_100)).to.equal(one.pressure('lane', 1_100));
+    expect(many.demandRatio('lane', 1_100)).to.equal(one.demandRatio('lane', 1_100));
   });
 });
 
--- a/test/admission/kind-limiter.test.ts
+++ b/test/admission/kind-limiter.test.ts
@@ -34,7 +34,12 @@
       for (; answers >= 1 && beganAt.length > 0; answers -= 1) {
         const held = clock.now() - beganAt.shift()!;
         const isCongested = held > MAX_TARGET_MS / 4;
-        const answer = { maxTargetMs: MAX_TARGET_MS, succeeded: true, heldMs: held, isCongested };
+        const answer = {
+          maxDurationMs: MAX_TARGET_MS,
+          succeeded: true,
+          durationMs: held,
+          isCongested,
+        };
         limiter.onAnswer(KIND, answer);
         limiter.leave(KIND);
         if (ms > 5_000) durationsMs.push(held);
@@ -68,9 +73,9 @@
     for (let answer = 0; answer < 100; answer += 1) {
       clock.advance(20);
       const uncongested = {
-        maxTargetMs: MAX_TARGET_MS,
+        maxDurationMs: MAX_TARGET_MS,
         succeeded: true,
-        heldMs: 20,
+        durationMs: 20,
         isCongested: false,
       };
       limiter.onAnswer(KIND, uncongested);
@@ -88,9 +93,9 @@
     for (let answer = 0; answer < 200; answer += 1) {
       clock.advance(20);
       const uncongested = {
-        maxTargetMs: MAX_TARGET_MS,
+        maxDurationMs: MAX_TARGET_MS,
         succeeded: true,
-        heldMs: 20,
+        durationMs: 20,
         isCongested: false,
       };
       limiter.onAnswer(KIND, uncongested);
@@ -105,9 +110,9 @@
       clock.advance(10);
       if (limiter.enter(KIND).type !== 'entered') continue;
       const failed = {
-        maxTargetMs: MAX_TARGET_MS,
+        maxDurationMs: MAX_TARGET_MS,
         succeeded: false,
-        heldMs: 10,
+        durationMs: 10,
         isCongested: true,
       };
       limiter.onAnswer(KIND, failed);
@@ -122,10 +127,10 @@
   it('is not learned while calls below are held up', () => {
     const impact = new KindImpact(new VirtualClock());
     for (let answer = 0; answer < 50; answer += 1) impact.onAnswer(KIND, 1_000, 200, false);
-    expect(impact.of(KIND)).to.equal(1);
+    expect(impact.impactOn(KIND)).to.equal(1);
     for (let answer = 0; answer < 100; answer += 1) impact.onAnswer(KIND, 200, 200, true);
-    expect(impact.of(KIND)).to.equal(0);
+    expect(impact.impactOn(KIND)).to.equal(0);
     for (let answer = 0; answer < 50; answer += 1) impact.onAnswer(KIND, 1_000, 200, false);
-    expect(impact.of(KIND)).to.equal(1);
+    expect(impact.impactOn(KIND)).to.equal(1);
   });
 });
--- a/test/call/parsers.test.ts
+++ b/test/call/parsers.test.ts
@@ -4,7 +4,7 @@
 import { formatOutcome, parseOutcome, type Outcome } from '../../src/call/outcome.js';
 import { requestPath, waitPreferenceMs } from '../../src/call/request-target.js';
 import { parseTraceParent } from '../../src/call/trace-parent.js';
-import { endToEndHeaders } from '../../src/http/header-filter.js';
+import { filterEndToEndHeaders } from '../../src/http/header-filter.js';
 import type { Importance } from '../../src/policy/importance.js';
 import { parseResource, resourceFaults } from '../../src/policy/resource-schema.js';
 
@@ -82,7 +82,7 @@
     );
     fc.assert(
       fc.property(fc.array(fc.tuple(headerName, fc.string())), (headers) => {
-        const kept = endToEndHeaders(headers.flat(), 'close, listed', new Set());
+        const kept = filterEndToEndHeaders(headers.flat(), 'close, listed', new Set());
         const names = kept.filter((_, index) => index % 2 === 0);
         expect(names.every((kept) => kept === 'X-Any')).to.equal(true);
       }),
--- a/test/call/stop-policy.test.ts
+++ b/test/call/stop-policy.test.ts
@@ -4,7 +4,7 @@
 import type { CallContext } from '../../src/call/call-context.js';
 import { CallDurations } from '../../src/call/call-durations.js';
 import { StopPhase, StopProgress, stopTimes } from '../../src/call/stop-phase.js';
-import { boundedByStop, gateTakes, ingressTakes } from '../../src/call/stop-policy.js';
+import { limitDeadlineToStop, gateAccepts, ingressAccepts } from '../../src/call/stop-policy.js';
 
 const GRACE_MS = 10_000;
 const KIND = 'k';
@@ -17,7 +17,7 @@
   progress.phase = phase;
   clock.runUntil(sinceMs);
   const durations = new CallDurations();
-  for (let call = 1; call <= 60; call += 1) durations.onCall(KIND, call % 12 === 0 ? 3_000 : 1_000);
+  for (let call = 1; call <= 60; call += 1) durations.record(KIND, call % 12 === 0 ? 3_000 : 1_000);
   return { clock, progress, durations };
 }
 
@@ -92,12 +92,12 @@
     it(`is what it can finish: ${StopPhase[phase]}, ${sinceMs} ms after its signal`, () => {
       const { progress, durations } = stoppingProcess(phase, sinceMs);
       const accepts = (repeatable: boolean, isNested: boolean): boolean =>
-        ingressTakes(progress, durations, { kind: KIND, repeatable, isNested });
+        ingressAccepts(progress, durations, { kind: KIND, repeatable, isNested });
       expect({
         repeatable: accepts(true, false),
         once: accepts(false, false),
         nested: accepts(true, true),
-        gate: gateTakes(progress, durations, KIND),
+        gate: gateAccepts(progress, durations, KIND),
       }).to.deep.equal(expected);
     });
   }
@@ -105,19 +105,19 @@
   it('includes kinds of which nothing is known, as long as there is time', () => {
     const { progress, durations } = stoppingProcess(StopPhase.Finishing, 8_900);
     const request = { kind: 'other', repeatable: false, isNested: true };
-    expect(ingressTakes(progress, durations, request)).to.equal(true);
+    expect(ingressAccepts(progress, durations, request)).to.equal(true);
   });
 
   it('gets the time that is left, and its target a little less', () => {
     const { clock, progress } = stoppingProcess(StopPhase.Draining, 5_000);
     const context = { deadlineAt: clock.now() + 60_000 } as CallContext;
-    const bounded = boundedByStop(context, progress);
+    const bounded = limitDeadlineToStop(context, progress);
     expect(bounded.deadlineAt).to.equal(9_000);
     expect(bounded.answerMarginMs).to.be.above(0);
     const soon = { deadlineAt: clock.now() + 1_000 } as CallContext;
-    expect(boundedByStop(soon, progress)).to.equal(soon);
+    expect(limitDeadlineToStop(soon, progress)).to.equal(soon);
     clock.runUntil(8_950);
-    expect(boundedByStop(context, progress).answerMarginMs).to.equal(25);
+    expect(limitDeadlineToStop(context, progress).answerMarginMs).to.equal(25);
   });
 
   it('never gets more time than the stop leaves, whatever the stop and the request are', () => {
@@ -134,7 +134,7 @@
         progress.begin(stop);
         clock.runUntil(sincePart * graceMs);
         const deadlineAt = clock.now() + wantedMs;
-        const bounded = boundedByStop({ deadlineAt } as CallContext, progress);
+        const bounded = limitDeadlineToStop({ deadlineAt } as CallContext, progress);
         const targetUntil = bounded.deadlineAt - (bounded.answerMarginMs ?? 0);
         expect(bounded.deadlineAt).to.be.at.most(Math.min(deadlineAt, stop.answerMs));
         expect(targetUntil).to.be.at.least(clock.now());
@@ -147,8 +147,8 @@
 
   it('is judged by the latest calls of its kind', () => {
     const durations = new CallDurations();
-    for (let call = 0; call < 100; call += 1) durations.onCall(KIND, 9_000);
-    for (let call = 0; call < 64; call += 1) durations.onCall(KIND, 10);
+    for (let call = 0; call < 100; call += 1) durations.record(KIND, 9_000);
+    for (let call = 0; call < 64; call += 1) durations.record(KIND, 10);
     expect(durations.quantileMs(KIND, 1)).to.equal(10);
     expect(durations.quantileMs('other', 1)).to.equal(0);
   });
--- a/test/consensus/disk-full.test.ts
+++ b/test/consensus/disk-full.test.ts
@@ -29,7 +29,7 @@
       contacts: [],
       join: false,
       electionTimeoutMs: 100,
-      drawIdentity: () => 'disk-1',
+      generateIdentity: () => 'disk-1',
     });
     const propose = (text: string): string => {
       let outcome: ProposalOutcome | undefined;
--- a/test/control/quarantine-keeper.test.ts
+++ b/test/control/quarantine-controller.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { CommandLog } from '../../src/control/command-log.js';
-import { QuarantineKeeper } from '../../src/control/quarantine-keeper.js';
+import { QuarantineController } from '../../src/control/quarantine-controller.js';
 import { ResourceStore } from '../../src/control/resource-store.js';
 import type { Command } from '../../src/control/commands.js';
 import { SILENT_LOGGER } from '../../src/common/logger.js';
@@ -34,7 +34,7 @@
   let store: ResourceStore;
   let log: TestLog;
   let evidence: CrashEvidence;
-  let controller: QuarantineKeeper;
+  let controller: QuarantineController;
   let crashes: number;
 
   beforeEach(() => {
@@ -43,7 +43,7 @@
     log = new TestLog(store);
     evidence = new CrashEvidence(clock);
     crashes = 0;
-    controller = new QuarantineKeeper({
+    controller = new QuarantineController({
       store,
       log: log as unknown as CommandLog,
       evidence,
@@ -55,7 +55,7 @@
   function crash(fingerprint: string): void {
     crashes += 1;
     const report = { instance: `i-${crashes}`, fingerprints: [fingerprint] };
-    evidence.onNews({ crashes: [report], acquitted: [] });
+    evidence.applyUpdate({ crashes: [report], acquitted: [] });
   }
 
   /** Advances the clock, then runs the checks and waits for their proposals. */
--- a/test/dedup/claims.test.ts
+++ b/test/dedup/claims.test.ts
@@ -6,9 +6,14 @@
 const DURATION_MS = 15_000;
 const NODE_COUNTS = [3, 4, 5, 6, 7];
 
-function simulate(seed: number, assumeWhole: boolean): ClaimRunResult {
+function simulate(seed: number, assumeComplete: boolean): ClaimRunResult {
   const nodes = NODE_COUNTS[seed % NODE_COUNTS.length]!;
-  return new ClaimWorld({ seed, nodes, durationMs: DURATION_MS, assumeWhole }).execute();
+  return new ClaimWorld({
+    seed,
+    nodes,
+    durationMs: DURATION_MS,
+    assumeComplete,
+  }).execute();
 }
 
 describe('claims of idempotency keys under faults', function () {
--- a/test/follower/follower.test.ts
+++ b/test/follower/follower.test.ts
@@ -5,7 +5,7 @@
 import { HEARTBEAT_PATH, type SyncResponse } from '../../src/sync/sync-protocol.js';
 import {
   ExchangeFailure,
-  type ControlLink,
+  type ControlTransport,
   type Exchange,
   type ExchangeOptions,
 } from '../../src/http/control-client.js';
@@ -30,7 +30,7 @@
 }
 
 /** Link to two replicas, of which the first may stop replying or lose its leader. */
-class FakeLink implements ControlLink {
+class FakeLink implements ControlTransport {
   firstHeartbeat: HeartbeatReply | undefined;
   readonly syncs: string[] = [];
 
--- a/test/follower/spread.test.ts
+++ b/test/follower/spread.test.ts
@@ -4,7 +4,11 @@
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
 import { HEARTBEAT_PATH } from '../../src/sync/sync-protocol.js';
-import { ExchangeFailure, type ControlLink, type Exchange } from '../../src/http/control-client.js';
+import {
+  ExchangeFailure,
+  type ControlTransport,
+  type Exchange,
+} from '../../src/http/control-client.js';
 import { advance, createTestFollower } from '../support/test-follower.js';
 
 const ORIGINS = ['lost', 'second', 'third', 'fourth'];
@@ -14,7 +18,7 @@
 const SEED_STEP = 0x9e3779b1;
 
 /** Link to four replicas, of which the first never replies. Records the origin of the last sync. */
-class Replicas implements ControlLink {
+class Replicas implements ControlTransport {
   syncedWith = '';
 
   constructor(private readonly clock: VirtualClock) {}
@@ -41,7 +45,7 @@
   const follower = createTestFollower({
     clock,
     // The first draw selects the initial replica: the lost one.
-    random: { next: () => random.next(), below: firstZero((bound) => random.below(bound)) },
+    random: { next: () => random.next(), nextInt: firstZero((bound) => random.nextInt(bound)) },
     client: replicas,
     controlOrigins: ORIGINS,
     heartbeatIntervalMs: 1_000,
--- a/test/follower/stale-sync.test.ts
+++ b/test/follower/stale-sync.test.ts
@@ -6,7 +6,7 @@
 import { HEARTBEAT_PATH, type SyncResponse } from '../../src/sync/sync-protocol.js';
 import {
   ExchangeFailure,
-  type ControlLink,
+  type ControlTransport,
   type Exchange,
   type ExchangeOptions,
   type ExchangeProgress,
@@ -26,7 +26,7 @@
 }
 
 /** Link to one replica that responds to the first sync, and to later ones only when `answerSync` is called. */
-class OneReplica implements ControlLink {
+class OneReplica implements ControlTransport {
   revision = 1;
   endpoints = { source: 'first-start', version: 1 };
   answersHeartbeats = true;
@@ -144,7 +144,7 @@
   { name: 'there are no news', happen: () => undefined, isSentAgain: false },
 ];
 
-function createFollower(clock: VirtualClock, client: ControlLink): Follower {
+function createFollower(clock: VirtualClock, client: ControlTransport): Follower {
   return createTestFollower({
     clock,
     client,
--- a/test/gate/inbound-congestion.test.ts
+++ b/test/gate/inbound-congestion.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
-import { GateCallRules } from '../../src/gate/gate-call-rules.js';
+import { GateCallHooks } from '../../src/gate/gate-call-hooks.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { gateServices, oneSlotAdmission } from '../support/slot-gate.js';
@@ -42,7 +42,7 @@
         },
       };
       const options = { congestedAfterMs: WAIT_MS / 2, isNested };
-      const rules = new GateCallRules(services, context, options);
+      const rules = new GateCallHooks(services, context, options);
       const call = new InboundCall(context, undefined, services, transport, () => {}, rules);
       call.start();
       return call;
--- a/test/gate/kind-limit-cause.test.ts
+++ b/test/gate/kind-limit-cause.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import type { AttemptListener } from '../../src/call/transport.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { GateCallRules } from '../../src/gate/gate-call-rules.js';
+import { GateCallHooks } from '../../src/gate/gate-call-hooks.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { InboundResult } from '../../src/gate/inbound-services.js';
 import { gateServices, slotAdmission } from '../support/slot-gate.js';
@@ -48,7 +48,7 @@
       const listener = (result: InboundResult): void => {
         if (result.type === 'refused') refusedBecause = result.refusal.detail;
       };
-      const rules = new GateCallRules(services, context, {
+      const rules = new GateCallHooks(services, context, {
         isNested: false,
         congestedAfterMs: RUN_MS,
       });
--- a/test/gate/long-chain-limit.test.ts
+++ b/test/gate/long-chain-limit.test.ts
@@ -5,10 +5,10 @@
  */
 import { expect } from 'chai';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
-import { exponential, SeededRandom } from '../../src/common/random.js';
+import { sampleExponential, SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import { maxTimeInTargetMs } from '../../src/gate/kind-tolerance.js';
+import { maxTimeInTargetMs } from '../../src/gate/kind-limit-thresholds.js';
 import { LOWEST_IMPORTANCE } from '../../src/policy/importance.js';
 
 const KIND = 'search';
@@ -44,11 +44,11 @@
       const limits: number[] = [];
       limiter.enter(KIND);
       for (let answer = 0; answer < ANSWERS; answer += 1) {
-        clock.advance(exponential(random, MEAN_GAP_MS));
+        clock.advance(sampleExponential(random, MEAN_GAP_MS));
         limiter.onAnswer(KIND, {
-          maxTargetMs: USUAL_MS,
+          maxDurationMs: USUAL_MS,
           succeeded: true,
-          heldMs: USUAL_MS,
+          durationMs: USUAL_MS,
           isCongested: true,
         });
         if (answer >= SETTLING_ANSWERS) limits.push(limiter.limitOf(KIND));
--- a/test/gate/rejection-with-room.test.ts
+++ b/test/gate/rejection-with-room.test.ts
@@ -3,7 +3,7 @@
  * less, and gates upstream would limit the kinds that lead there, while slots stay empty.
  */
 import { expect } from 'chai';
-import { NODE_CALL_RULES } from '../../src/gate/call-rules.js';
+import { NODE_CALL_HOOKS } from '../../src/gate/call-hooks.js';
 import { InboundCall } from '../../src/gate/inbound-call.js';
 import type { InboundResult } from '../../src/gate/inbound-services.js';
 import type { Outcome } from '../../src/call/outcome.js';
@@ -47,7 +47,7 @@
         services,
         transport,
         listener,
-        NODE_CALL_RULES,
+        NODE_CALL_HOOKS,
       );
       call.start();
       return call;
--- a/test/gate/restart-with-long-runs.test.ts
+++ b/test/gate/restart-with-long-runs.test.ts
@@ -4,10 +4,10 @@
  */
 import { expect } from 'chai';
 import { KindImpact } from '../../src/admission/kind-impact.js';
-import { RunOutcomes } from '../../src/admission/run-outcomes.js';
+import { KindCircuitBreaker } from '../../src/admission/kind-circuit-breaker.js';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import type { CallContext } from '../../src/call/call-context.js';
-import { CallKindLimit } from '../../src/gate/kind-use.js';
+import { CallKindLimit } from '../../src/gate/call-kind-limit.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 
 const RUN_MS = 4_600;
@@ -22,7 +22,7 @@
     const services = {
       clock,
       kindLimiter: new KindLimiter(clock),
-      runOutcomes: new RunOutcomes(),
+      runOutcomes: new KindCircuitBreaker(),
       kindImpact: new KindImpact(clock),
       downstreamLevel: () => 0,
     };
--- a/test/golden/claim-messages.test.ts
+++ b/test/golden/claim-messages.test.ts
@@ -14,7 +14,7 @@
 } from '../../src/dedup/claim-messages.js';
 import { ClaimReplica } from '../../src/dedup/claim-replica.js';
 import type { ClaimView } from '../../src/dedup/claim-view.js';
-import { answerClaimMessage, HttpClaimTransport } from '../../src/http/claim-link.js';
+import { handleClaimMessage, HttpClaimTransport } from '../../src/http/claim-transport.js';
 import { ConnectionPools } from '../../src/http/connection-pools.js';
 import { Cleanup, startTarget } from '../support/processes.js';
 import { expectGolden, goldenBytes, plainText, readGoldenFile } from './golden-file.js';
@@ -126,7 +126,7 @@
     const transport = new HttpClaimTransport({
       pools,
       linkToken: LINK_TOKEN,
-      originOf: () => origin,
+      getOrigin: () => origin,
     });
     const ask = (message: ClaimMessage): Promise<ClaimReply | undefined> =>
       new Promise((resolve) => transport.request('node-2', message, resolve));
@@ -156,7 +156,7 @@
     const heard: ClaimMessage[] = [];
     let reply = REPLY_PINS[0]!;
     const origin = await startTarget(cleanup, (message, response) => {
-      void answerClaimMessage(message, response, (received) => {
+      void handleClaimMessage(message, response, (received) => {
         heard.push(received);
         return reply.message;
       });
--- a/test/golden/control-answers.test.ts
+++ b/test/golden/control-answers.test.ts
@@ -9,7 +9,7 @@
 import type { LogStatus } from '../../src/sync/status-report.js';
 import { FollowerApi } from '../../src/control/follower-api.js';
 import { MemberTable } from '../../src/control/member-table.js';
-import { QuotaKeeper } from '../../src/control/quota-keeper.js';
+import { QuotaGranter } from '../../src/control/quota-granter.js';
 import { ResourceStore } from '../../src/control/resource-store.js';
 import { SyncResponder } from '../../src/control/sync-responder.js';
 import { CrashEvidence } from '../../src/quarantine/crash-evidence.js';
@@ -61,7 +61,7 @@
       store,
       members,
       evidence,
-      quotas: new QuotaKeeper(store, DEFAULT_QUOTA_RULE, clock.now()),
+      quotas: new QuotaGranter(store, DEFAULT_QUOTA_RULE, clock.now()),
       log: log as unknown as CommandLog,
       notifier: new ChangeNotifier(clock),
       linkToken: LINK_TOKEN,
--- a/test/golden/edge-and-node.test.ts
+++ b/test/golden/edge-and-node.test.ts
@@ -21,7 +21,7 @@
   CrashNote,
   formatOutcome,
   parseOutcome,
-  unbegunOutcome,
+  notStartedOutcome,
   type Outcome,
 } from '../../src/call/outcome.js';
 import {
@@ -37,7 +37,7 @@
 import type { RequestBody } from '../../src/http/request-body.js';
 import { HttpTargetTransport } from '../../src/http/target-transport.js';
 import { IMPORTANCE_NAMES, importanceFromName } from '../../src/policy/importance.js';
-import { RepeatRoom } from '../../src/retry/repeat-room.js';
+import { AcceptedRepeats } from '../../src/retry/accepted-repeats.js';
 import type { EndpointRecord } from '../../src/call/endpoint.js';
 import { Cleanup, startTarget } from '../support/processes.js';
 import {
@@ -88,7 +88,7 @@
   rejectedByTarget: true,
   crashNote: CrashNote.Suspect,
   unspentRetries: 3,
-  load: { inFlight: 12, limit: 300, repeatRoom: RepeatRoom.Calls },
+  load: { inFlight: 12, limit: 300, repeatRoom: AcceptedRepeats.Calls },
 };
 
 const BASE_OUTCOME: Outcome = {
@@ -166,7 +166,7 @@
       'verdict=may-have-run, unspent=3, refusal=overload, overloaded=1, in-flight=12, limit=300',
     );
     expect(formatOutcome(BASE_OUTCOME)).to.equal('verdict=ran, unspent=0');
-    expect(formatOutcome(unbegunOutcome('too-large', 2))).to.equal(
+    expect(formatOutcome(notStartedOutcome('too-large', 2))).to.equal(
       'verdict=not-run, unspent=2, refusal=too-large',
     );
   });
@@ -211,7 +211,7 @@
   } as unknown as IncomingMessage;
   const BODY: RequestBody = {
     content: Buffer.from('{"n":1}'),
-    start: Buffer.from('{"n":1}'),
+    bufferedStart: Buffer.from('{"n":1}'),
     replayable: true,
   };
   const ANSWER: FixedAnswer = {
--- a/test/golden/follower-messages.test.ts
+++ b/test/golden/follower-messages.test.ts
@@ -9,11 +9,15 @@
 import {
   packConfiguration,
   unpackSync,
-  type ConfigurationNews,
+  type ConfigurationUpdate,
   type PackedSync,
 } from '../../src/sync/sync-codec.js';
 import { HEARTBEAT_PATH, SYNC_PATH } from '../../src/sync/sync-protocol.js';
-import { ControlClient, ExchangeFailure, type ControlLink } from '../../src/http/control-client.js';
+import {
+  ControlClient,
+  ExchangeFailure,
+  type ControlTransport,
+} from '../../src/http/control-client.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { packSync } from '../support/pack-sync.js';
 import { Cleanup } from '../support/processes.js';
@@ -125,14 +129,14 @@
   }
 
   /** Encodes a configuration without compression. */
-  function plainConfiguration(news: ConfigurationNews): Uint8Array {
+  function plainConfiguration(news: ConfigurationUpdate): Uint8Array {
     const { isCompressed, bytes } = packConfiguration(news);
     return isCompressed ? inflateRawSync(bytes) : bytes;
   }
 
   /** Whether a configuration of `length` bytes is compressed. */
   function isCompressedAt(length: number): boolean {
-    const newsOf = (name: string): ConfigurationNews => ({
+    const newsOf = (name: string): ConfigurationUpdate => ({
       revision: 1,
       resources: undefined,
       changes: [
@@ -149,7 +153,7 @@
 describe('messages of a running follower', () => {
   it('have the golden fields in the golden order', async () => {
     const sent = new Map<string, string>();
-    const client: ControlLink = {
+    const client: ControlTransport = {
       send: async (_origin, path, message) => {
         sent.set(path, plainText(encodeMessage(message)));
         return { type: 'failed', failure: ExchangeFailure.Unreachable, detail: 'of this test' };
--- a/test/golden/follower-pins.ts
+++ b/test/golden/follower-pins.ts
@@ -1,7 +1,7 @@
 /** The messages between followers and control whose golden bytes are in follower-messages.txt. */
 import type { Heartbeat, HeartbeatReply } from '../../src/sync/heartbeat.js';
 import type { StoredResource } from '../../src/policy/stored-resource.js';
-import type { ConfigurationNews } from '../../src/sync/sync-codec.js';
+import type { ConfigurationUpdate } from '../../src/sync/sync-codec.js';
 import { NO_REVISION, type SyncRequest, type SyncResponse } from '../../src/sync/sync-protocol.js';
 import type { Resource, ResourceKind } from '../../src/policy/resource-schema.js';
 import type { EndpointRecord } from '../../src/call/endpoint.js';
@@ -260,7 +260,7 @@
 ];
 
 /** The configuration part of sync responses, which is encoded separately within the response. */
-export const CONFIGURATIONS: readonly MessagePin<ConfigurationNews>[] = [
+export const CONFIGURATIONS: readonly MessagePin<ConfigurationUpdate>[] = [
   { name: 'configuration, changes', message: configurationOf(SMALL_RESPONSE) },
   { name: 'configuration, everything', message: configurationOf(LARGE_RESPONSE) },
 ];
@@ -272,6 +272,6 @@
   ...SYNC_REQUESTS,
 ];
 
-function configurationOf({ revision, resources, changes }: SyncResponse): ConfigurationNews {
+function configurationOf({ revision, resources, changes }: SyncResponse): ConfigurationUpdate {
   return { revision, resources, changes };
 }
--- a/test/golden/link-frames.test.ts
+++ b/test/golden/link-frames.test.ts
@@ -13,7 +13,7 @@
   CallFrameContext,
   LinkFrame,
 } from '../../src/link/link-frames.js';
-import { RepeatRoom } from '../../src/retry/repeat-room.js';
+import { AcceptedRepeats } from '../../src/retry/accepted-repeats.js';
 import { expectGolden, goldenBytes, readGoldenFile } from './golden-file.js';
 import { REFUSAL_REASONS, VERDICTS } from './outcome-values.js';
 
@@ -70,7 +70,11 @@
   body: Buffer.from('{"n":1}'),
 };
 
-const FULL_LOAD: Required<LoadReport> = { inFlight: 12, limit: 300, repeatRoom: RepeatRoom.Calls };
+const FULL_LOAD: Required<LoadReport> = {
+  inFlight: 12,
+  limit: 300,
+  repeatRoom: AcceptedRepeats.Calls,
+};
 
 const FULL_OUTCOME: Required<Outcome> = {
   verdict: 'may-have-run',
@@ -157,7 +161,7 @@
       frame: refused({ ...FULL_OUTCOME, load: { inFlight: 0, limit: 1 } }),
       readAs: refused({
         ...FULL_OUTCOME,
-        load: { inFlight: 0, limit: 1, repeatRoom: RepeatRoom.Runs },
+        load: { inFlight: 0, limit: 1, repeatRoom: AcceptedRepeats.Runs },
       }),
     },
     {
@@ -182,7 +186,7 @@
     ...Object.values(CrashNote).map((crashNote) =>
       valuePin(`crash note ${crashNote}`, { crashNote }),
     ),
-    ...[RepeatRoom.None, RepeatRoom.Calls, RepeatRoom.Runs].map((repeatRoom) =>
+    ...[AcceptedRepeats.None, AcceptedRepeats.Calls, AcceptedRepeats.Runs].map((repeatRoom) =>
       valuePin(`repeat room ${repeatRoom}`, { load: { ...FULL_LOAD, repeatRoom } }),
     ),
   ];
@@ -270,7 +274,7 @@
     overloaded: true,
     nested: false,
     unspentRetries: 1,
-    load: { inFlight: 2, limit: 8, repeatRoom: RepeatRoom.Calls },
+    load: { inFlight: 2, limit: 8, repeatRoom: AcceptedRepeats.Calls },
   };
 
   it('are read with defaults where the last fields of a call are missing', () => {
--- a/test/golden/refusals.test.ts
+++ b/test/golden/refusals.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import { readFileSync } from 'node:fs';
 import { OUTCOME_HEADER } from '../../src/call/call-context.js';
-import { formatOutcome, unbegunOutcome } from '../../src/call/outcome.js';
+import { formatOutcome, notStartedOutcome } from '../../src/call/outcome.js';
 import {
   isRefusalReason,
   refusalStatus,
@@ -48,7 +48,7 @@
   });
 
   it('leave as Problem Details with verdict, request id and time to wait', async () => {
-    const outcome = formatOutcome(unbegunOutcome('overload', 1));
+    const outcome = formatOutcome(notStartedOutcome('overload', 1));
     const origin = await startTarget(cleanup, (_message, response) => {
       writeRefusal(response, REFUSAL, REQUEST_ID, [OUTCOME_HEADER, outcome]);
     });
--- a/test/ingress/ingress-order.test.ts
+++ b/test/ingress/ingress-order.test.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici';
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
 import { CallStats } from '../../src/call/call-stats.js';
-import { RequestJournal } from '../../src/call/request-journal.js';
+import { RequestLog } from '../../src/call/request-log.js';
 import { StopPhase, StopProgress, stopTimes } from '../../src/call/stop-phase.js';
 import { SystemClock } from '../../src/common/clock.js';
 import type { RandomSource } from '../../src/common/random.js';
@@ -87,7 +87,7 @@
     return 0.5;
   }
 
-  below(): number {
+  nextInt(): number {
     this.drawn += 1;
     return 0;
   }
@@ -132,9 +132,14 @@
       table: () => (situation.hasTable ? table : undefined),
       proofAgeMs: () => situation.proofAgeMs,
       maxProofAgeMs: 1_000,
-      quota: new IngressQuota({ clock, startedAt: 0, windowMs: 5_000, onShort: () => undefined }),
+      quota: new IngressQuota({
+        clock,
+        startedAt: 0,
+        windowMs: 5_000,
+        onGrantNeeded: () => undefined,
+      }),
       stop,
-      journal: new RequestJournal(clock, lines.logger.part('request')),
+      journal: new RequestLog(clock, lines.logger.part('request')),
       downstream: new CongestionLevel(clock),
       repeatedRuns: new RepeatedRuns(),
       retryBudget: new ServiceRetryBudget({ clock, ...DEFAULT_RETRY_BOUND, gates: () => 1 }),
--- a/test/ingress/ingress-stop.test.ts
+++ b/test/ingress/ingress-stop.test.ts
@@ -7,7 +7,7 @@
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
 import { CallStats } from '../../src/call/call-stats.js';
 import { IngressServer, type IngressServerOptions } from '../../src/ingress/ingress-server.js';
-import { RequestJournal } from '../../src/call/request-journal.js';
+import { RequestLog } from '../../src/call/request-log.js';
 import { SystemClock } from '../../src/common/clock.js';
 import { SeededRandom } from '../../src/common/random.js';
 import { DEFAULT_BODY_LIMITS } from '../../src/http/request-body.js';
@@ -82,9 +82,14 @@
       table: () => table,
       proofAgeMs: () => 0,
       maxProofAgeMs: Infinity,
-      quota: new IngressQuota({ clock, startedAt: 0, windowMs: 5_000, onShort: () => undefined }),
+      quota: new IngressQuota({
+        clock,
+        startedAt: 0,
+        windowMs: 5_000,
+        onGrantNeeded: () => undefined,
+      }),
       stop,
-      journal: new RequestJournal(clock, SILENT_LOGGER),
+      journal: new RequestLog(clock, SILENT_LOGGER),
       downstream: new CongestionLevel(clock),
       repeatedRuns: new RepeatedRuns(),
       retryBudget: new ServiceRetryBudget({ clock, ...DEFAULT_RETRY_BOUND, gates: () => 1 }),
@@ -138,7 +143,7 @@
     let answer = '';
     client.on('data', (bytes) => (answer += bytes.toString()));
     client.write('POST /target/1 HTTP/1.1\r\nhost: shop.example\r\ncontent-length: 4\r\n\r\nha');
-    while (ingress.recordsUnderWay().length === 0) await setImmediate();
+    while (ingress.getInFlightRecords().length === 0) await setImmediate();
     ingress.endWithProcess();
     await once(client, 'data');
     client.write('lf');
--- a/test/lab/fleet-experiment.test.ts
+++ b/test/lab/fleet-experiment.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
-import { findScenario } from '../../lab/experiment/find-scenario.js';
+import { loadBuiltInScenario } from '../../lab/experiment/find-scenario.js';
 import { runFleetExperiment } from '../../lab/fleet/fleet-experiment.js';
 import { loadDeployment } from '../../lab/model/load-deployment.js';
 import type { ValidationError } from '../../src/common/errors.js';
 
 /** Returns the paths of the faults for which the scenario is rejected; empty if it runs. */
-async function refusedFor(scenario: ReturnType<typeof findScenario>): Promise<string[]> {
+async function refusedFor(scenario: ReturnType<typeof loadBuiltInScenario>): Promise<string[]> {
   try {
     await runFleetExperiment(scenario, loadDeployment(scenario.deployment), 1);
   } catch (error) {
@@ -15,7 +15,7 @@
 }
 
 describe('an experiment on real processes', () => {
-  const scenario = findScenario('lost-answers');
+  const scenario = loadBuiltInScenario('lost-answers');
 
   it('is refused with faults of links, which only the simulator has', async () => {
     expect(await refusedFor(scenario)).to.deep.equal(['faults[2].type']);
--- a/test/lab/promises.test.ts
+++ b/test/lab/promises.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { findScenario } from '../../lab/experiment/find-scenario.js';
+import { loadBuiltInScenario } from '../../lab/experiment/find-scenario.js';
 import type { PromiseId } from '../../lab/experiment/promises.js';
 import { simulateExperiment } from '../../lab/experiment/run-experiment.js';
 import { loadDeployment } from '../../lab/model/load-deployment.js';
@@ -26,7 +26,7 @@
   seed: number,
   off: Partial<Mechanisms>,
 ): ReadonlyMap<PromiseId, number> {
-  const scenario = findScenario(name);
+  const scenario = loadBuiltInScenario(name);
   const mechanisms = { ...scenario.mechanisms, ...off };
   const loaded = loadDeployment(scenario.deployment);
   const { violations } = simulateExperiment({ ...scenario, mechanisms }, loaded, seed);
--- a/test/lab/soak.test.ts
+++ b/test/lab/soak.test.ts
@@ -189,7 +189,7 @@
   it('cuts nothing by planned stops', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'shoredoor-soak-'));
     const plan = drawStopPlan(CI_STOP_SEED, CI_STOP_DURATION_MS);
-    const { violations, chances } = await runSoak(plan, folder);
+    const { violations, checkCounts: chances } = await runSoak(plan, folder);
     expect(violations, `logs: ${folder}`).to.deep.equal([]);
     expect(chances.get(Check.CleanStop)).to.be.above(LEAST_CHANCES);
     rmSync(folder, { recursive: true, force: true });
@@ -198,7 +198,7 @@
   it('keeps requests that crash their targets from them, and no others', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'shoredoor-soak-'));
     const plan = drawCrashPlan(CI_CRASH_SEED, CI_CRASH_DURATION_MS);
-    const { violations, chances } = await runSoak(plan, folder);
+    const { violations, checkCounts: chances } = await runSoak(plan, folder);
     expect(violations, `logs: ${folder}`).to.deep.equal([]);
     for (const check of [Check.DeadlyBound, Check.NoFalseQuarantine]) {
       expect(chances.get(check), check).to.be.above(0);
@@ -208,7 +208,10 @@
 
   it('breaks no promise', async () => {
     const folder = mkdtempSync(join(tmpdir(), 'shoredoor-soak-'));
-    const { violations, chances } = await runSoak(drawPlan(CI_SEED, CI_DURATION_MS), folder);
+    const { violations, checkCounts: chances } = await runSoak(
+      drawPlan(CI_SEED, CI_DURATION_MS),
+      folder,
+    );
     expect(violations, `logs: ${folder}`).to.deep.equal([]);
     for (const check of [Check.AtMostOnce, Check.OwnWholeAnswer, Check.Recovery]) {
       expect(chances.get(check), check).to.be.above(0);
--- a/test/link/link.test.ts
+++ b/test/link/link.test.ts
@@ -8,7 +8,7 @@
 import type { LinkCall, LinkCallListener } from '../../src/link/link-stream.js';
 import { encodeFrame, FrameReader } from '../../src/link/frame-codec.js';
 import type { LinkFrame } from '../../src/link/link-frames.js';
-import { RepeatRoom } from '../../src/retry/repeat-room.js';
+import { AcceptedRepeats } from '../../src/retry/accepted-repeats.js';
 import type { IncomingLinkCall } from '../../src/link/incoming-link-call.js';
 import { LinkServer } from '../../src/link/link-server.js';
 
@@ -139,7 +139,11 @@
         fc.record({
           inFlight: fc.nat(),
           limit: fc.nat(),
-          repeatRoom: fc.constantFrom(RepeatRoom.None, RepeatRoom.Calls, RepeatRoom.Runs),
+          repeatRoom: fc.constantFrom(
+            AcceptedRepeats.None,
+            AcceptedRepeats.Calls,
+            AcceptedRepeats.Runs,
+          ),
         }),
         { nil: undefined },
       ),
--- a/test/membership/target-lease.test.ts
+++ b/test/membership/target-lease.test.ts
@@ -151,7 +151,7 @@
   it('comes back at once under the same id after it was found down, and not by a late report', () => {
     const { held } = lease();
     held.onReport(report('i-1', 4, { born: 1_000 }));
-    held.onDown('i-1@1000');
+    held.onConnectionRefused('i-1@1000');
     held.onReport(report('i-1', 4, { born: 1_000 }));
     expect(held.current).to.equal(undefined);
     held.onReport(report('i-1', 1, { born: 2_000 }));
--- a/test/outbound/hedged-request-refused.test.ts
+++ b/test/outbound/hedged-request-refused.test.ts
@@ -11,7 +11,7 @@
 import { SeededRandom } from '../../src/common/random.js';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import { RetryAllowance } from '../../src/retry/retry-allowance.js';
-import { CALLEES_DECIDE } from '../../src/retry/retry-budget.js';
+import { UNLIMITED_RETRIES } from '../../src/retry/retry-budget.js';
 import { oneZoneBalancer } from '../support/one-zone-balancer.js';
 
 const USUAL_MS = 20;
@@ -47,7 +47,7 @@
       clock,
       balancer,
       throttle: new OverloadThrottle(random),
-      budget: CALLEES_DECIDE,
+      budget: UNLIMITED_RETRIES,
     };
     const run = (latencyMs: number, ofFirst = ANSWERED): OutboundResult | undefined => {
       let result: OutboundResult | undefined;
--- a/test/outbound/hedged-request-verdict.test.ts
+++ b/test/outbound/hedged-request-verdict.test.ts
@@ -11,7 +11,7 @@
 import { OutboundCall } from '../../src/outbound/outbound-call.js';
 import type { OutboundResult } from '../../src/outbound/outbound-request.js';
 import { RetryAllowance } from '../../src/retry/retry-allowance.js';
-import { CALLEES_DECIDE } from '../../src/retry/retry-budget.js';
+import { UNLIMITED_RETRIES } from '../../src/retry/retry-budget.js';
 import { oneZoneBalancer } from '../support/one-zone-balancer.js';
 
 const USUAL_MS = 20;
@@ -69,7 +69,7 @@
       clock,
       balancer: oneZoneBalancer(clock, random),
       throttle: new OverloadThrottle(random),
-      budget: CALLEES_DECIDE,
+      budget: UNLIMITED_RETRIES,
     };
     const run = (scripts: readonly Script[]): OutboundResult | undefined => {
       let result: OutboundResult | undefined;
--- a/test/pins/follower-lines.test.ts
+++ b/test/pins/follower-lines.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { HeartbeatReply } from '../../src/sync/heartbeat.js';
-import type { ControlLink, Exchange, ExchangeOptions } from '../../src/http/control-client.js';
+import type { ControlTransport, Exchange, ExchangeOptions } from '../../src/http/control-client.js';
 import { ExchangeFailure } from '../../src/http/control-client.js';
 import { Follower } from '../../src/follower/follower.js';
 import { CapturedLines } from '../support/captured-lines.js';
@@ -13,7 +13,7 @@
 const STEP_MS = 25;
 
 /** Two replicas, of which the first stops answering heartbeats. */
-class TwoReplicas implements ControlLink {
+class TwoReplicas implements ControlTransport {
   isFirstSilent = false;
   private syncs = 0;
 
@@ -60,7 +60,7 @@
     const client = new TwoReplicas(clock);
     const follower = new Follower({
       clock,
-      random: { next: () => 0, below: () => 0 },
+      random: { next: () => 0, nextInt: () => 0 },
       client,
       controlOrigins: ['first', 'second'],
       heartbeatIntervalMs: 1_000,
--- a/test/pins/log-lines.test.ts
+++ b/test/pins/log-lines.test.ts
@@ -1,10 +1,10 @@
 /** Pins the exact log lines of individual components. */
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { RequestJournal } from '../../src/call/request-journal.js';
-import { LeadershipLog } from '../../src/control/leadership-log.js';
+import { RequestLog } from '../../src/call/request-log.js';
+import { LeadershipLogger } from '../../src/control/leadership-logger.js';
 import { ExchangeFailure } from '../../src/http/control-client.js';
-import { SyncJournal } from '../../src/follower/sync-journal.js';
+import { SyncLog } from '../../src/follower/sync-log.js';
 import { EMPTY_POLICY_TABLE } from '../../src/policy/policy-table.js';
 import { CrashGuard } from '../../src/quarantine/crash-guard.js';
 import { CapturedLines } from '../support/captured-lines.js';
@@ -55,14 +55,14 @@
   });
 
   describe('about requests', () => {
-    let journal: RequestJournal;
+    let journal: RequestLog;
 
     beforeEach(() => {
-      journal = new RequestJournal(clock, captured.logger.part('request'));
+      journal = new RequestLog(clock, captured.logger.part('request'));
     });
 
     it('tell of one that failed', () => {
-      journal.onIngress(RECORD, {
+      journal.onIngressFailure(RECORD, {
         reason: 'overload',
         verdict: 'not-run',
         retryAfterSeconds: 1,
@@ -87,7 +87,7 @@
     });
 
     it('tell of one whose answer broke off', () => {
-      journal.onIngress({ ...RECORD, fingerprint: undefined }, 'broken');
+      journal.onIngressFailure({ ...RECORD, fingerprint: undefined }, 'broken');
       expect(captured.lines).to.deep.equal([
         {
           level: INFO,
@@ -130,7 +130,7 @@
         fingerprint: '0123456789abcdef0123-01234567',
       };
       clock.advance(340);
-      journal.onGate(context, 'overload', 'not-run', 300, 'The target is at its limit.');
+      journal.onGateFailure(context, 'overload', 'not-run', 300, 'The target is at its limit.');
       expect(captured.lines).to.deep.equal([
         {
           level: INFO,
@@ -148,7 +148,7 @@
     });
 
     it('tell of who makes the calls of a route', () => {
-      journal.onRouteLearned(RECORD, true);
+      journal.onNestedRouteChange(RECORD, true);
       expect(captured.lines).to.deep.equal([
         {
           level: INFO,
@@ -163,7 +163,7 @@
     });
 
     it('tell of those that a stop has cut, twenty of them', () => {
-      journal.onCutByStop(Array.from({ length: 23 }, () => RECORD));
+      journal.onAbortedByStop(Array.from({ length: 23 }, () => RECORD));
       expect(captured.lines).to.have.length(21);
       expect(captured.lines[0]).to.deep.equal({
         level: WARN,
@@ -199,16 +199,16 @@
   });
 
   describe('about syncs', () => {
-    let journal: SyncJournal;
+    let journal: SyncLog;
 
     beforeEach(() => {
-      journal = new SyncJournal(clock, captured.logger.part('follower'));
+      journal = new SyncLog(clock, captured.logger.part('follower'));
       journal.onSent('http://10.0.0.1:7100');
       clock.advance(1_500);
     });
 
     it('tell of one that is sent again', () => {
-      journal.onGivenUp('the replica was restarted');
+      journal.onAborted('the replica was restarted');
       expect(captured.lines).to.deep.equal([
         {
           level: INFO,
@@ -277,10 +277,10 @@
   });
 
   it('tell of another role or leader', () => {
-    const log = new LeadershipLog(captured.logger.part('replication'));
-    log.check({ role: 'follower', term: 4, leaderId: 'control-2' });
-    log.check({ role: 'follower', term: 4, leaderId: 'control-2' });
-    log.check({ role: 'candidate', term: 5, leaderId: undefined });
+    const log = new LeadershipLogger(captured.logger.part('replication'));
+    log.logChange({ role: 'follower', term: 4, leaderId: 'control-2' });
+    log.logChange({ role: 'follower', term: 4, leaderId: 'control-2' });
+    log.logChange({ role: 'candidate', term: 5, leaderId: undefined });
     const msg = 'replication: Role or leader changed.';
     expect(captured.lines).to.deep.equal([
       { level: INFO, msg, role: 'follower', term: 4, leader: 'control-2' },
@@ -305,8 +305,8 @@
       target: () => target,
       refusesConnections: () => Promise.resolve(true),
       table: () => EMPTY_POLICY_TABLE,
-      onDown: () => undefined,
-      onNews: () => undefined,
+      onTargetCrash: () => undefined,
+      onUpdate: () => undefined,
     });
     guard.watch.onTarget(target);
     guard.watch.begin('first-request');
--- a/test/pins/quarantine-lines.test.ts
+++ b/test/pins/quarantine-lines.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
 import type { CommandLog } from '../../src/control/command-log.js';
-import { QuarantineKeeper } from '../../src/control/quarantine-keeper.js';
+import { QuarantineController } from '../../src/control/quarantine-controller.js';
 import { ResourceStore } from '../../src/control/resource-store.js';
 import type { Command } from '../../src/control/commands.js';
 import { CrashEvidence } from '../../src/quarantine/crash-evidence.js';
@@ -20,7 +20,7 @@
 describe('the log lines about quarantines', () => {
   let clock: VirtualClock;
   let captured: CapturedLines;
-  let keeper: QuarantineKeeper;
+  let keeper: QuarantineController;
   let evidence: CrashEvidence;
   let hasQuorum: boolean;
   let crashes: number;
@@ -40,7 +40,13 @@
       );
     const log = { status: () => ({ role: 'leader' }), propose } as unknown as CommandLog;
     const logger = captured.logger.part('quarantine');
-    keeper = new QuarantineKeeper({ store, log, evidence, wallClock: () => clock.now(), logger });
+    keeper = new QuarantineController({
+      store,
+      log,
+      evidence,
+      wallClock: () => clock.now(),
+      logger,
+    });
   });
 
   afterEach(() => captured.end());
@@ -49,7 +55,7 @@
     for (let each = 0; each < times; each += 1) {
       crashes += 1;
       const report = { instance: `i-${crashes}`, fingerprints: [fingerprint] };
-      evidence.onNews({ crashes: [report], acquitted: [] });
+      evidence.applyUpdate({ crashes: [report], acquitted: [] });
     }
     await check();
   }
--- a/test/pins/refusals.test.ts
+++ b/test/pins/refusals.test.ts
@@ -14,7 +14,7 @@
 import { CrashNote, formatOutcome, parseOutcome } from '../../src/call/outcome.js';
 import { isRefusalReason, toProblemDetails, type RefusalReason } from '../../src/call/refusal.js';
 import { isVerdict } from '../../src/common/verdict.js';
-import { MESSAGE_HEADER } from '../../src/http/claim-link.js';
+import { MESSAGE_HEADER } from '../../src/http/claim-transport.js';
 import { DEFAULT_TARGET_HEADERS, type TargetHeaders } from '../../src/http/target-headers.js';
 
 /** Title, and the statuses for the verdicts `not-run`, `may-have-run` and `ran`. */
--- a/test/policy/group-schema.test.ts
+++ b/test/policy/group-schema.test.ts
@@ -50,13 +50,13 @@
 
   it('are found by their keys, with no limit where the rate is 0 or absent', () => {
     const table = new GroupTable();
-    expect(table.needsKeys).to.equal(false);
-    table.addResource(group('a', ['k-1'], { rank: 2, ratePerSecond: 5 }));
-    table.addResource(group('b', ['k-2'], { ratePerSecond: 0, burst: 9 }));
-    expect(table.needsKeys).to.equal(true);
-    expect(table.ofKey('k-1')).to.include({ name: 'a', rank: 2 });
-    expect(table.ofKey('k-1')?.rate).to.deep.equal({ perSecond: 5, burst: 0 });
-    expect(table.ofKey('k-2')?.rate).to.equal(undefined);
-    expect(table.ofKey('k-3')).to.equal(undefined);
+    expect(table.requiresKeys).to.equal(false);
+    table.addSetGroup(group('a', ['k-1'], { rank: 2, ratePerSecond: 5 }));
+    table.addSetGroup(group('b', ['k-2'], { ratePerSecond: 0, burst: 9 }));
+    expect(table.requiresKeys).to.equal(true);
+    expect(table.findByKey('k-1')).to.include({ name: 'a', rank: 2 });
+    expect(table.findByKey('k-1')?.rate).to.deep.equal({ perSecond: 5, burst: 0 });
+    expect(table.findByKey('k-2')?.rate).to.equal(undefined);
+    expect(table.findByKey('k-3')).to.equal(undefined);
   });
 });
--- a/test/quarantine/crash-evidence.test.ts
+++ b/test/quarantine/crash-evidence.test.ts
@@ -36,18 +36,18 @@
   function crashBy(caller: string, ...names: string[]): void {
     crashes += 1;
     const fingerprints = names.map((name) => fingerprint(name, caller));
-    evidence.onNews({ crashes: [{ instance: `i-${crashes}`, fingerprints }], acquitted: [] });
+    evidence.applyUpdate({ crashes: [{ instance: `i-${crashes}`, fingerprints }], acquitted: [] });
     clock.advance(GAP_MS);
   }
 
   function acquit(...names: string[]): void {
     const both = names.flatMap((name) => [fingerprint(name, 'a'), fingerprint(name)]);
-    evidence.onNews({ crashes: [], acquitted: both });
+    evidence.applyUpdate({ crashes: [], acquitted: both });
   }
 
   function blamed(): string[] {
     clock.advance(SETTLED_MS);
-    return evidence.blamed();
+    return evidence.requestsToQuarantine();
   }
 
   it('blames a request after three crashes, and not after two', () => {
@@ -60,7 +60,7 @@
 
   it('gives gates time to say that the request ended well', () => {
     for (let each = 0; each < 3; each += 1) crash('popular');
-    expect(evidence.blamed()).to.deep.equal([]);
+    expect(evidence.requestsToQuarantine()).to.deep.equal([]);
     const suspects = evidence.suspectList().suspects.map((suspect) => suspect.fingerprint);
     expect(suspects).to.deep.equal([of('popular'), fingerprint('popular')]);
     acquit('popular');
@@ -71,22 +71,22 @@
   it('counts a crash that is told again once', () => {
     const report = { instance: 'i-1', fingerprints: [of('bad')] };
     for (let each = 0; each < 5; each += 1) {
-      evidence.onNews({ crashes: [report], acquitted: [] });
+      evidence.applyUpdate({ crashes: [report], acquitted: [] });
       clock.advance(GAP_MS);
     }
-    expect(evidence.crashesUnder(of('bad'))).to.equal(1);
+    expect(evidence.crashCount(of('bad'))).to.equal(1);
     acquit('bad');
-    evidence.onNews({ crashes: [report], acquitted: [] });
-    expect(evidence.crashesUnder(of('bad'))).to.equal(0);
+    evidence.applyUpdate({ crashes: [report], acquitted: [] });
+    expect(evidence.crashCount(of('bad'))).to.equal(0);
   });
 
   it('blames the request of more crashes, and none that was merely there', () => {
     for (let each = 0; each < 3; each += 1) crash('bad', 'unlucky');
     crash('bad');
     expect(blamed()).to.deep.equal([of('bad')]);
-    evidence.adopt([{ fingerprint: of('bad'), inForce: true }]);
+    evidence.setQuarantines([{ fingerprint: of('bad'), inForce: true }]);
     expect(blamed()).to.deep.equal([]);
-    expect(evidence.crashesUnder(of('unlucky'))).to.equal(0);
+    expect(evidence.crashCount(of('unlucky'))).to.equal(0);
   });
 
   it('wants five crashes where it can not tell two requests apart', () => {
@@ -99,9 +99,9 @@
   it('goes on blaming a request until its quarantine is known, however long that takes', () => {
     for (let each = 0; each < 3; each += 1) crash('bad');
     clock.advance(60_000);
-    expect(evidence.blamed()).to.deep.equal([of('bad')]);
-    evidence.adopt([{ fingerprint: of('bad'), inForce: true }]);
-    expect(evidence.blamed()).to.deep.equal([]);
+    expect(evidence.requestsToQuarantine()).to.deep.equal([of('bad')]);
+    evidence.setQuarantines([{ fingerprint: of('bad'), inForce: true }]);
+    expect(evidence.requestsToQuarantine()).to.deep.equal([]);
   });
 
   it('blames several requests that crash targets at the same time', () => {
@@ -122,21 +122,21 @@
   it('blames a request of one caller only, while others see it end well or have not sent it', () => {
     for (let each = 0; each < 3; each += 1) crashBy('a', 'bad');
     expect(blamed()).to.deep.equal([of('bad')]);
-    evidence.adopt([{ fingerprint: of('bad'), inForce: true }]);
+    evidence.setQuarantines([{ fingerprint: of('bad'), inForce: true }]);
     crashBy('b', 'bad');
     expect(blamed()).to.include(fingerprint('bad'));
   });
 
   it('forgets what spoke against a request that an operator takes out of quarantine', () => {
     for (let each = 0; each < 4; each += 1) crash('sound');
-    evidence.adopt([{ fingerprint: of('sound'), inForce: true }]);
-    evidence.adopt([]);
+    evidence.setQuarantines([{ fingerprint: of('sound'), inForce: true }]);
+    evidence.setQuarantines([]);
     expect(blamed()).to.deep.equal([]);
-    expect(evidence.crashesUnder(of('sound'))).to.equal(0);
+    expect(evidence.crashCount(of('sound'))).to.equal(0);
   });
 
   it('renews after one crash what was in quarantine, unless it ends well', () => {
-    evidence.adopt([
+    evidence.setQuarantines([
       { fingerprint: of('bad'), inForce: false },
       { fingerprint: of('mended'), inForce: false },
     ]);
@@ -144,8 +144,8 @@
     crash('mended');
     acquit('mended');
     clock.advance(SETTLED_MS);
-    expect(evidence.blamesOnProbation(of('bad'))).to.equal(true);
-    expect(evidence.blamesOnProbation(of('mended'))).to.equal(false);
+    expect(evidence.shouldRenew(of('bad'))).to.equal(true);
+    expect(evidence.shouldRenew(of('mended'))).to.equal(false);
   });
 
   it('blames no request that ends well now and then, and always the one that never does', () => {
@@ -166,7 +166,7 @@
   it('stays bounded when each crash is of other requests', () => {
     for (let each = 0; each < 2_000; each += 1) crash(`once-${each}`);
     expect(evidence.suspectList().suspects).to.deep.equal([]);
-    expect(evidence.crashesUnder(of('once-0'))).to.equal(0);
-    expect(evidence.crashesUnder(of('once-1999'))).to.equal(1);
+    expect(evidence.crashCount(of('once-0'))).to.equal(0);
+    expect(evidence.crashCount(of('once-1999'))).to.equal(1);
   });
 });
--- a/test/quota/quota.test.ts
+++ b/test/quota/quota.test.ts
@@ -6,13 +6,13 @@
   type QuotaRun,
 } from '../../lab/simulator/quota/quota-world.js';
 import { DEFAULT_QUOTA_RULE } from '../../src/quota/quota-rule.js';
-import { SlidingCount } from '../../src/common/sliding-count.js';
+import { SlidingWindowCounter } from '../../src/common/sliding-window-counter.js';
 
 const SEEDS_UNDER_FAULTS = 60;
 const CALM_SEEDS = 5;
 
 const STEADY: Omit<QuotaRun, 'seed'> = {
-  way: 'leases',
+  strategy: 'leases',
   ingresses: 71,
   groups: 30,
   durationMs: 20_000,
@@ -34,7 +34,7 @@
 
 /** Maximum number of runs of any group in any window, as a fraction of the bound. */
 function worstPart({ groups }: QuotaResult): number {
-  return Math.max(...groups.map((group) => group.worstPart));
+  return Math.max(...groups.map((group) => group.worstBoundRatio));
 }
 
 /** Fraction of requests that were refused although their groups were within their declared rates. */
@@ -59,7 +59,7 @@
   });
 
   it('is broken where ingresses divide the limit by what each was offered at the last heartbeat', () => {
-    const parts = runSeeds(3, { ...HARSH, way: 'proportional' }).map(worstPart);
+    const parts = runSeeds(3, { ...HARSH, strategy: 'proportional' }).map(worstPart);
     expect(Math.max(...parts)).to.be.greaterThan(1.5);
   });
 
@@ -91,7 +91,9 @@
   });
 
   it('would refuse most of what is below the limit if each ingress had an equal part', () => {
-    expect(wronglyRefusedPart(runSeeds(2, { ...STEADY, way: 'equal-parts' }))).to.be.above(0.3);
+    expect(wronglyRefusedPart(runSeeds(2, { ...STEADY, strategy: 'equal-parts' }))).to.be.above(
+      0.3,
+    );
   });
 });
 
@@ -105,7 +107,7 @@
     fc.assert(
       fc.property(steps, (events) => {
         const windowMs = 1_000;
-        const count = new SlidingCount(windowMs);
+        const count = new SlidingWindowCounter(windowMs);
         const kept: { at: number; step: number }[] = [];
         let now = 0;
         for (const { waitMs, isRemoval } of events) {
@@ -125,7 +127,7 @@
   });
 
   it('says when the oldest event stops counting', () => {
-    const count = new SlidingCount(1_000);
+    const count = new SlidingWindowCounter(1_000);
     count.add(500);
     const waitMs = count.msToNextExpiry(900);
     expect(count.total(900 + waitMs - 1)).to.equal(1);
--- a/test/retry/repeat-room.test.ts
+++ b/test/retry/accepted-repeats.test.ts
@@ -2,9 +2,9 @@
 import {
   allowedRepeats,
   decideAcceptedRepeats,
-  RepeatRoom,
+  AcceptedRepeats,
   type GateState,
-} from '../../src/retry/repeat-room.js';
+} from '../../src/retry/accepted-repeats.js';
 
 const BOUND = { ratio: 0.2, slack: 40, windowMs: 10_000 };
 const NOTHING = { firsts: 0, repeats: 0 };
@@ -48,38 +48,38 @@
     readonly name: string;
     readonly fromClient?: boolean;
     readonly state: Partial<GateState>;
-    readonly room: RepeatRoom;
+    readonly room: AcceptedRepeats;
   }[] = [
-    { name: 'nothing used', state: {}, room: RepeatRoom.Runs },
-    { name: 'half used with this one', state: busyWith(84), room: RepeatRoom.Runs },
-    { name: 'more than half used with this one', state: busyWith(85), room: RepeatRoom.Calls },
-    { name: 'the last one', state: busyWith(168.9), room: RepeatRoom.Calls },
-    { name: 'all used', state: busyWith(169.1), room: RepeatRoom.None },
-    { name: 'full below', state: { isDownstreamFull: true }, room: RepeatRoom.None },
+    { name: 'nothing used', state: {}, room: AcceptedRepeats.Runs },
+    { name: 'half used with this one', state: busyWith(84), room: AcceptedRepeats.Runs },
+    { name: 'more than half used with this one', state: busyWith(85), room: AcceptedRepeats.Calls },
+    { name: 'the last one', state: busyWith(168.9), room: AcceptedRepeats.Calls },
+    { name: 'all used', state: busyWith(169.1), room: AcceptedRepeats.None },
+    { name: 'full below', state: { isDownstreamFull: true }, room: AcceptedRepeats.None },
     {
       name: 'a call of a target, the rest reserved for clients',
       state: { ...busyWith(85), fromClients: { firsts: 500, repeats: 0 } },
-      room: RepeatRoom.None,
+      room: AcceptedRepeats.None,
     },
     {
       name: 'a request of a client, the rest reserved for them',
       fromClient: true,
       state: { ...busyWith(85), fromClients: { firsts: 500, repeats: 0 } },
-      room: RepeatRoom.Calls,
+      room: AcceptedRepeats.Calls,
     },
     {
       name: 'a call of a target, clients having had their part',
       state: { ...busyWith(85), fromClients: { firsts: 500, repeats: 85 } },
-      room: RepeatRoom.Calls,
+      room: AcceptedRepeats.Calls,
     },
     {
       name: 'a call of a target, few requests of clients',
       state: { ...busyWith(85), fromClients: { firsts: 10, repeats: 0 } },
-      room: RepeatRoom.Calls,
+      room: AcceptedRepeats.Calls,
     },
   ];
   for (const { name, fromClient = false, state, room } of ROOM_CASES) {
-    it(`${name}: ${RepeatRoom[room]}`, () => {
+    it(`${name}: ${AcceptedRepeats[room]}`, () => {
       expect(decideAcceptedRepeats(fromClient, { ...BUSY, ...state }, BOUND)).to.equal(room);
     });
   }
--- a/test/retry/arrivals-at-depth.test.ts
+++ b/test/retry/arrivals-at-depth.test.ts
@@ -44,7 +44,7 @@
         { durationMs: FAULTY_MS, factor: 1.5, faults: faultsOf(depth, faults) },
         AFTER,
       ]);
-      const worst = world.arrivals.worst(BOUND);
+      const worst = world.arrivals.worstWindow(BOUND);
       expect(worst.repeats, JSON.stringify(worst)).to.be.at.most(worst.allowed);
     });
   }
@@ -52,13 +52,13 @@
   it('stay within it on drawn graphs, losses and rejections, while processes are restarted', () => {
     const random = new SeededRandom(SEED);
     for (let drawn = 0; drawn < RANDOM_GRAPHS; drawn += 1) {
-      const depth = 1 + random.below(8);
-      const fanOut = 1 + random.below(depth < 4 ? 4 : 1);
+      const depth = 1 + random.nextInt(8);
+      const fanOut = 1 + random.nextInt(depth < 4 ? 4 : 1);
       const maxPerSecond = MAX_CALLS_PER_SECOND / fanOut ** (depth - 1) / depth;
       const perSecond = MIN_REQUESTS_PER_SECOND + maxPerSecond * random.next();
       const faults = { rejectedPart: 0.3 * random.next(), lostPart: 0.3 * random.next() };
       const world = new SidecarWorld(
-        chainGraph({ depth, fanOut, perSecond, workMs: 2 + random.below(60) }),
+        chainGraph({ depth, fanOut, perSecond, workMs: 2 + random.nextInt(60) }),
         drawn,
       );
       world.restartEvery(RESTART_INTERVAL_MS);
@@ -67,7 +67,7 @@
         { durationMs: FAULTY_MS, factor: 0.5 + random.next(), faults: faultsOf(depth, faults) },
         { ...AFTER, factor: random.next() },
       ]);
-      const worst = world.arrivals.worst(BOUND);
+      const worst = world.arrivals.worstWindow(BOUND);
       const graph = JSON.stringify({ depth, fanOut, perSecond, faults, worst });
       expect(worst.repeats, graph).to.be.at.most(worst.allowed);
     }
--- a/test/retry/service-retry-budget.test.ts
+++ b/test/retry/service-retry-budget.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { VirtualClock } from '../../src/common/virtual-clock.js';
-import { RepeatRoom } from '../../src/retry/repeat-room.js';
+import { AcceptedRepeats } from '../../src/retry/accepted-repeats.js';
 import { RepeatedRuns } from '../../src/retry/repeated-runs.js';
 import { ServiceRetryBudget } from '../../src/retry/service-retry-budget.js';
 import { ArrivalLedger } from '../../lab/simulator/sidecars/arrival-ledger.js';
@@ -54,12 +54,12 @@
               ledger.onRequest(SERVICE, clock.now());
             });
             scheduleAtRate(clock, span.durationMs, span.repeatsPerSecond, () => {
-              if (gate.tryRepeat(source)) ledger.onRepeat(SERVICE, clock.now());
+              if (gate.tryAcquireRepeat(source)) ledger.onRepeat(SERVICE, clock.now());
             });
           }
           clock.advance(span.durationMs);
         }
-        const worst = ledger.worst(BOUND);
+        const worst = ledger.worstWindow(BOUND);
         expect(worst.repeats, JSON.stringify(worst)).to.be.at.most(worst.allowed);
       }),
       { numRuns: 300, seed: 11 },
@@ -77,7 +77,7 @@
 
   function takeAllRepeats(budget: ServiceRetryBudget): number {
     let count = 0;
-    while (budget.tryRepeat('targets')) count += 1;
+    while (budget.tryAcquireRepeat('targets')) count += 1;
     return count;
   }
 
@@ -90,24 +90,24 @@
 
   it('grants none while a service below has nothing left', () => {
     const { clock, budget } = busyGate(0);
-    budget.onDownstreamCall(RepeatRoom.Calls);
-    expect(budget.tryRepeat('clients')).to.equal(false);
+    budget.onDownstreamCall(AcceptedRepeats.Calls);
+    expect(budget.tryAcquireRepeat('clients')).to.equal(false);
     clock.advance(BOUND.windowMs / 10);
-    expect(budget.tryRepeat('clients')).to.equal(true);
+    expect(budget.tryAcquireRepeat('clients')).to.equal(true);
   });
 
   it('tells that it has no room for repeated runs before it has none for calls', () => {
     const { budget } = busyGate(0);
-    expect(budget.room('targets')).to.equal(RepeatRoom.Runs);
-    for (let each = 0; each < 100; each += 1) budget.tryRepeat('targets');
-    expect(budget.room('targets')).to.equal(RepeatRoom.Calls);
+    expect(budget.getAcceptedRepeats('targets')).to.equal(AcceptedRepeats.Runs);
+    for (let each = 0; each < 100; each += 1) budget.tryAcquireRepeat('targets');
+    expect(budget.getAcceptedRepeats('targets')).to.equal(AcceptedRepeats.Calls);
     takeAllRepeats(budget);
-    expect(budget.room('targets')).to.equal(RepeatRoom.None);
+    expect(budget.getAcceptedRepeats('targets')).to.equal(AcceptedRepeats.None);
   });
 
   it('has no slack where its target calls other services', () => {
     const { budget } = busyGate(0);
-    budget.onDownstreamCall(RepeatRoom.Runs);
+    budget.onDownstreamCall(AcceptedRepeats.Runs);
     expect(takeAllRepeats(budget)).to.be.within(140, 155);
   });
 
@@ -115,31 +115,31 @@
     const { budget } = busyGate(0);
     for (let call = 0; call < 100; call += 1) budget.onFirstArrival('clients', 0);
     takeAllRepeats(budget);
-    expect(budget.tryRepeat('clients')).to.equal(true);
+    expect(budget.tryAcquireRepeat('clients')).to.equal(true);
   });
 
   it('grants again what has not arrived', () => {
     const { budget } = busyGate(0);
     takeAllRepeats(budget);
-    budget.giveBack('targets');
+    budget.releaseRepeat('targets');
     expect(takeAllRepeats(budget)).to.equal(1);
   });
 
   it('starts with nothing, so that a restart grants nothing twice', () => {
-    expect(createBudget(new VirtualClock()).tryRepeat('clients')).to.equal(false);
+    expect(createBudget(new VirtualClock()).tryAcquireRepeat('clients')).to.equal(false);
   });
 });
 
 describe('the runs in a target that are repeats', () => {
   it('are told exactly while one run is there, and bounded by the most repeated kind', () => {
     const runs = new RepeatedRuns();
-    expect(runs.share()).to.equal(0);
+    expect(runs.estimateRepeatShare()).to.equal(0);
     runs.onStart('read', 1);
-    expect(runs.share()).to.equal(1);
+    expect(runs.estimateRepeatShare()).to.equal(1);
     runs.onStart('read', 0);
     runs.onStart('write', 0.25);
-    expect(runs.share()).to.equal(0.5);
+    expect(runs.estimateRepeatShare()).to.equal(0.5);
     runs.onEnd('read', 1);
-    expect(runs.share()).to.equal(0.25);
+    expect(runs.estimateRepeatShare()).to.equal(0.25);
   });
 });
--- a/test/routing/origin-tracker.test.ts
+++ b/test/routing/origin-tracker.test.ts
@@ -14,7 +14,7 @@
 
 /** Draws the service of the machine from which a client sends its next request. */
 function drawOrigin(random: SeededRandom): string {
-  let machine = random.below(MACHINE_COUNT);
+  let machine = random.nextInt(MACHINE_COUNT);
   for (const { service, machines } of UNEVEN_MACHINES) {
     if (machine < machines) return service;
     machine -= machines;
@@ -114,7 +114,7 @@
         () => SUBSET / 95,
       );
       for (let call = 0; call < LARGE_CALLS; call += 1) {
-        tracker.onCall('search', callers[random.below(callers.length)]!);
+        tracker.onCall('search', callers[random.nextInt(callers.length)]!);
       }
       if (tracker.isNested('search')) mistaken += 1;
     }
--- a/test/storage/log-storage.test.ts
+++ b/test/storage/log-storage.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import type { LogEntry } from '../../src/storage/persisted-state.js';
 import { LOG_FILE, SNAPSHOT_FILE } from '../../src/storage/load-log.js';
-import { LogStorage, type OpenedLog } from '../../src/storage/log-storage.js';
+import { LogStorage, type OpenLogResult } from '../../src/storage/log-storage.js';
 import { encodeRecord, scanRecords } from '../../src/storage/record-format.js';
 import type { StorageFiles } from '../../src/storage/storage-files.js';
 
@@ -42,7 +42,7 @@
   return files;
 }
 
-function open(files: MemoryFiles): Extract<OpenedLog, { type: 'opened' }> {
+function open(files: MemoryFiles): Extract<OpenLogResult, { type: 'opened' }> {
   const opened = LogStorage.open(files);
   if (opened.type === 'damaged') throw new Error(opened.reason);
   return opened;
--- a/test/support/calling-targets.ts
+++ b/test/support/calling-targets.ts
@@ -6,7 +6,7 @@
 import type { AddressInfo } from 'node:net';
 import { Agent, request } from 'undici';
 import { createLogger } from '../../src/common/logger.js';
-import { within, type Program } from '../../src/programs/program.js';
+import { finishesWithin, type Program } from '../../src/programs/program.js';
 import { startSidecar } from '../../src/programs/sidecar-program.js';
 import { startLoneControl } from './lone-control.js';
 import { sidecarSettings } from './sidecar-settings.js';
@@ -195,7 +195,7 @@
     message.resume();
     this.arrived.add(String(message.headers['x-request-id']));
     const deadlineMs = Number(message.headers['x-request-timeout-ms']);
-    const isDone = await within(this.backWork(), deadlineMs);
+    const isDone = await finishesWithin(this.backWork(), deadlineMs);
     this.answer(message, response, isDone ? STATUS_OK : STATUS_TOO_LATE);
   }
 
--- a/test/support/slot-gate.ts
+++ b/test/support/slot-gate.ts
@@ -2,7 +2,7 @@
 import { AdmissionController } from '../../src/admission/admission-controller.js';
 import { CongestionLevel } from '../../src/admission/congestion-level.js';
 import { KindImpact } from '../../src/admission/kind-impact.js';
-import { RunOutcomes } from '../../src/admission/run-outcomes.js';
+import { KindCircuitBreaker } from '../../src/admission/kind-circuit-breaker.js';
 import { KindLimiter } from '../../src/admission/kind-limiter.js';
 import { SHARING_ORDERS } from '../../src/admission/sharing-policy.js';
 import { SlotLimiter } from '../../src/admission/slot-limiter.js';
@@ -43,7 +43,7 @@
     downstreamLevel: () => 0,
     kindImpact: new KindImpact(clock),
     kindLimiter: new KindLimiter(clock),
-    runOutcomes: new RunOutcomes(),
+    runOutcomes: new KindCircuitBreaker(),
     retryBudget: new ServiceRetryBudget({ clock, ...DEFAULT_RETRY_BOUND, gates: () => 1 }),
     repeatedRuns: new RepeatedRuns(),
     queueLevels: Array.from({ length: IMPORTANCE_COUNT }, () => new CongestionLevel(clock)),
--- a/test/support/stored-replica.ts
+++ b/test/support/stored-replica.ts
@@ -39,7 +39,7 @@
       join: false,
       electionTimeoutMs: ELECTION_TIMEOUT_MS,
       snapshotInterval,
-      drawIdentity: () => 'a3b1c2d4-0000-4000-8000-000000000001',
+      generateIdentity: () => 'a3b1c2d4-0000-4000-8000-000000000001',
     });
     this.log = new ReplicatedCommandLog(clock, this.host);
     this.declarations = new DeclarationService({
--- a/test/support/test-follower.ts
+++ b/test/support/test-follower.ts
@@ -1,20 +1,20 @@
 /** Creates a follower in virtual time with a control link provided by the test. */
 import type { RandomSource } from '../../src/common/random.js';
 import type { VirtualClock } from '../../src/common/virtual-clock.js';
-import type { ControlLink } from '../../src/http/control-client.js';
+import type { ControlTransport } from '../../src/http/control-client.js';
 import { Follower } from '../../src/follower/follower.js';
 import { SILENT_LOGGER } from '../../src/common/logger.js';
 
 export interface TestFollowerOptions {
   readonly clock: VirtualClock;
-  readonly client: ControlLink;
+  readonly client: ControlTransport;
   readonly controlOrigins: readonly string[];
   /** Defaults to a source that always selects the first element. */
   readonly random?: RandomSource;
   readonly heartbeatIntervalMs?: number;
 }
 
-const FIRST_CHOICE: RandomSource = { next: () => 0, below: () => 0 };
+const FIRST_CHOICE: RandomSource = { next: () => 0, nextInt: () => 0 };
 
 export function createTestFollower(options: TestFollowerOptions): Follower {
   return new Follower({
