--- a/lab/simulator/quota/quota-world.ts
+++ b/lab/simulator/quota/quota-world.ts
@@ -45,7 +45,7 @@
 const MAX_WAIT_MS = 50;
 /** Fraction of its rate that a group sends under normal load. */
 const BASE_LOAD_FRACTION = 0.625;
-const MAX_RATE_PER_SECOND = 200;
+const MAX_REQUESTS_PER_SECOND = 200;
 /** Maximum delay between the admission of a request and its run. */
 const MAX_RUN_DELAY_MS = 300;
 /** Probability that an admitted request does not run and releases its permit. */
@@ -121,7 +121,7 @@
   }
 
   private createGroup(index: number): SimGroup {
-    const perSecond = Math.max(1, MAX_RATE_PER_SECOND * this.random.next() ** 3);
+    const perSecond = Math.max(1, MAX_REQUESTS_PER_SECOND * this.random.next() ** 3);
     const rate: GroupRate = { perSecond, burst: perSecond };
     const name = `group-${index}`;
     this.rates.set(name, rate);
